--- /dev/null
+++ b/tests/forms/heartbeat_form_test.cpp
@@ -0,0 +1,163 @@
+// Copyright 2026 the larkrack developers. All rights reserved.
+// License: BSD 2-Clause, see LICENSE.
+
+/// @file
+/// The datagram by which nodes of different versions tell each other that they are there, byte by byte.
+
+#include "fixtures.h"
+#include "forms/golden.h"
+
+#include "edge/heartbeat_p.h"
+
+namespace larkrack
+{
+class heartbeat_form_test : public CppUnit::TestFixture
+{
+	CPPUNIT_TEST_SUITE(heartbeat_form_test);
+	CPPUNIT_TEST(heartbeat_full_encoded_has_the_known_bytes);
+	CPPUNIT_TEST(heartbeat_empty_encoded_has_the_known_bytes);
+	CPPUNIT_TEST(heartbeat_known_bytes_decoded_have_all_fields);
+	CPPUNIT_TEST(heartbeat_without_store_answer_decoded_has_no_age);
+	CPPUNIT_TEST(heartbeat_of_another_layout_is_refused);
+	CPPUNIT_TEST(heartbeat_with_a_field_more_or_less_is_refused);
+	CPPUNIT_TEST(heartbeat_cut_short_is_refused);
+	CPPUNIT_TEST(heartbeat_that_is_no_array_is_refused);
+	CPPUNIT_TEST_SUITE_END();
+
+protected:
+	static const std::string& full_bytes()
+	{
+		static const std::string s_bytes =
+		    "9104626e311b00060a24181e400119012c66656173742d6164656173746831302e302e302e316b31"
+		    "302e302e302e313a383002111a00011170a26566696c6573fb3fb999999999999a6473686f70fa41"
+		    "480000826831302e302e302e326831302e302e302e33a16473686f70a26465617374fa4100000064"
+		    "77657374fa40900000841adeadbeef030700f418fa";
+		return s_bytes;
+	}
+
+	static const std::string& empty_bytes()
+	{
+		static const std::string s_bytes = "910460000060606060000000a080a080f520";
+		return s_bytes;
+	}
+
+	static edge_heartbeat full()
+	{
+		edge_heartbeat one;
+		one.node = "n1";
+		one.incarnation = 1700000000000001ULL;
+		one.sequence = 300;
+		one.domain = "east-a";
+		one.region = "east";
+		one.ip = "10.0.0.1";
+		one.callers = "10.0.0.1:80";
+		one.state = node_state::stopping;
+		one.config_version = 17;
+		one.store_revision = 70000;
+		one.store_reached = false;
+		one.store_answer_age_ms = 250;
+		one.requests_per_s = {{"files", 0.1}, {"shop", 12.5}};
+		one.sent_per_s = {{"shop", {{"east", 8.0}, {"west", 4.5}}}};
+		one.loads = {{0xdeadbeefU, 3}, {7U, 0}};
+		one.known_ips = {"10.0.0.2", "10.0.0.3"};
+		return one;
+	}
+
+	static result<edge_heartbeat> decode(const std::vector<std::uint8_t>& _bytes)
+	{
+		return decode_heartbeat(_bytes.data(), _bytes.size());
+	}
+
+	void heartbeat_full_encoded_has_the_known_bytes()
+	{
+		CPPUNIT_ASSERT_EQUAL(full_bytes(), to_hex(encode(full())));
+	}
+
+	void heartbeat_empty_encoded_has_the_known_bytes()
+	{
+		CPPUNIT_ASSERT_EQUAL(empty_bytes(), to_hex(encode(edge_heartbeat())));
+	}
+
+	void heartbeat_known_bytes_decoded_have_all_fields()
+	{
+		result<edge_heartbeat> decoded = decode(from_hex(full_bytes()));
+		const edge_heartbeat* one = value_of(decoded);
+		CPPUNIT_ASSERT(nullptr != one);
+		CPPUNIT_ASSERT_EQUAL(std::string("n1"), one->node);
+		CPPUNIT_ASSERT_EQUAL(std::uint64_t{1700000000000001ULL}, one->incarnation);
+		CPPUNIT_ASSERT_EQUAL(std::uint64_t{300}, one->sequence);
+		CPPUNIT_ASSERT_EQUAL(std::string("east-a"), one->domain);
+		CPPUNIT_ASSERT_EQUAL(std::string("east"), one->region);
+		CPPUNIT_ASSERT_EQUAL(std::string("10.0.0.1"), one->ip);
+		CPPUNIT_ASSERT_EQUAL(std::string("10.0.0.1:80"), one->callers);
+		CPPUNIT_ASSERT(node_state::stopping == one->state);
+		CPPUNIT_ASSERT_EQUAL(std::uint64_t{17}, one->config_version);
+		CPPUNIT_ASSERT_EQUAL(std::int64_t{70000}, one->store_revision);
+		CPPUNIT_ASSERT(!one->store_reached);
+		CPPUNIT_ASSERT(one->store_answer_age_ms && 250 == *one->store_answer_age_ms);
+		CPPUNIT_ASSERT(
+		    (std::map<std::string, double>{{"files", 0.1}, {"shop", 12.5}}) == one->requests_per_s);
+		CPPUNIT_ASSERT_EQUAL(std::size_t(1), one->sent_per_s.size());
+		CPPUNIT_ASSERT(
+		    (std::map<std::string, double>{{"east", 8.0}, {"west", 4.5}}) == one->sent_per_s.at("shop"));
+		CPPUNIT_ASSERT_EQUAL(std::size_t(2), one->loads.size());
+		CPPUNIT_ASSERT_EQUAL(0xdeadbeefU, one->loads[0].key);
+		CPPUNIT_ASSERT_EQUAL(3, one->loads[0].in_flight);
+		CPPUNIT_ASSERT_EQUAL(7U, one->loads[1].key);
+		CPPUNIT_ASSERT_EQUAL(0, one->loads[1].in_flight);
+		CPPUNIT_ASSERT((std::vector<std::string>{"10.0.0.2", "10.0.0.3"}) == one->known_ips);
+	}
+
+	void heartbeat_without_store_answer_decoded_has_no_age()
+	{
+		result<edge_heartbeat> decoded = decode(from_hex(empty_bytes()));
+		const edge_heartbeat* one = value_of(decoded);
+		CPPUNIT_ASSERT(nullptr != one);
+		CPPUNIT_ASSERT(!one->store_answer_age_ms);
+		CPPUNIT_ASSERT(one->store_reached);
+		CPPUNIT_ASSERT(node_state::starting == one->state);
+	}
+
+	void heartbeat_of_another_layout_is_refused()
+	{
+		for (const std::uint8_t layout : {3, 5})
+		{
+			std::vector<std::uint8_t> bytes = from_hex(full_bytes());
+			bytes.at(1) = layout;
+			const result<edge_heartbeat> decoded = decode(bytes);
+			const error* refused = std::get_if<error>(&decoded);
+			CPPUNIT_ASSERT(nullptr != refused);
+			CPPUNIT_ASSERT_EQUAL(std::string("bad_heartbeat"), refused->code);
+		}
+	}
+
+	void heartbeat_with_a_field_more_or_less_is_refused()
+	{
+		std::vector<std::uint8_t> longer = from_hex(empty_bytes());
+		longer.at(0) = 0x92; // Array of 18.
+		longer.push_back(0);
+		CPPUNIT_ASSERT(std::holds_alternative<error>(decode(longer)));
+		std::vector<std::uint8_t> shorter = from_hex(empty_bytes());
+		shorter.at(0) = 0x90; // Array of 16.
+		shorter.pop_back();
+		CPPUNIT_ASSERT(std::holds_alternative<error>(decode(shorter)));
+	}
+
+	void heartbeat_cut_short_is_refused()
+	{
+		const std::vector<std::uint8_t> whole = from_hex(full_bytes());
+		for (std::size_t length = 0; length < whole.size(); ++length)
+		{
+			CPPUNIT_ASSERT(std::holds_alternative<error>(decode_heartbeat(whole.data(), length)));
+		}
+	}
+
+	void heartbeat_that_is_no_array_is_refused()
+	{
+		CPPUNIT_ASSERT(std::holds_alternative<error>(decode(from_hex("a0"))));
+		CPPUNIT_ASSERT(std::holds_alternative<error>(decode(from_hex("04"))));
+	}
+};
+
+CPPUNIT_TEST_SUITE_REGISTRATION(heartbeat_form_test);
+} // namespace larkrack
