--- /dev/null
+++ b/tests/forms/platform_keys_form_test.cpp
@@ -0,0 +1,279 @@
+// Copyright 2026 the larkrack developers. All rights reserved.
+// License: BSD 2-Clause, see LICENSE.
+
+/// @file
+/// Keys and values of the platform's store, header names and look-ups, as larkrack-edge reads and writes
+/// them.
+
+#include "fixtures.h"
+
+#include "platform_dialect_p.h"
+
+namespace larkrack
+{
+class platform_keys_form_test : public CppUnit::TestFixture
+{
+	CPPUNIT_TEST_SUITE(platform_keys_form_test);
+	CPPUNIT_TEST(keys_have_their_kinds_and_names);
+	CPPUNIT_TEST(node_key_is_written_under_its_prefix);
+	CPPUNIT_TEST(routes_full_are_read);
+	CPPUNIT_TEST(routes_with_the_least_get_the_known_defaults);
+	CPPUNIT_TEST(routes_kinds_give_repeat_rules);
+	CPPUNIT_TEST(routes_that_are_incomplete_are_refused);
+	CPPUNIT_TEST(routes_version_is_a_letter_and_a_number);
+	CPPUNIT_TEST(backend_full_is_read);
+	CPPUNIT_TEST(backend_with_the_least_gets_the_known_defaults);
+	CPPUNIT_TEST(backend_state_other_than_ready_is_draining);
+	CPPUNIT_TEST(backend_that_is_incomplete_is_refused);
+	CPPUNIT_TEST(headers_have_the_names_of_the_platform);
+	CPPUNIT_TEST(lookup_target_is_read);
+	CPPUNIT_TEST(lookup_answer_has_the_known_text);
+	CPPUNIT_TEST_SUITE_END();
+
+protected:
+	using routes_result = result<std::shared_ptr<const routing_table>>;
+
+	static std::shared_ptr<const routing_table> routes_of(const std::string& _value)
+	{
+		routes_result decoded = platform_codec().decode_routes(_value);
+		const auto* table = value_of(decoded);
+		CPPUNIT_ASSERT(nullptr != table);
+		return *table;
+	}
+
+	static std::string refusal_of(const std::string& _value)
+	{
+		const routes_result decoded = platform_codec().decode_routes(_value);
+		const error* refused = std::get_if<error>(&decoded);
+		CPPUNIT_ASSERT(nullptr != refused);
+		CPPUNIT_ASSERT_EQUAL(std::string("bad_routes"), refused->code);
+		return refused->message;
+	}
+
+	void keys_have_their_kinds_and_names()
+	{
+		const platform_codec codec;
+		CPPUNIT_ASSERT_EQUAL(std::string(), codec.prefix());
+		CPPUNIT_ASSERT_EQUAL(std::string("op/config"), codec.routes_key());
+		CPPUNIT_ASSERT(record_kind::routes == codec.kind_of("op/config"));
+		CPPUNIT_ASSERT(record_kind::other == codec.kind_of("op/config/more"));
+		CPPUNIT_ASSERT(record_kind::evacuation == codec.kind_of("op/evacuate/east-a"));
+		CPPUNIT_ASSERT(record_kind::backend == codec.kind_of("servers/shop/b1"));
+		CPPUNIT_ASSERT(record_kind::node == codec.kind_of("larkrack/nodes/n1"));
+		CPPUNIT_ASSERT(record_kind::other == codec.kind_of("larkrack/other"));
+		CPPUNIT_ASSERT(record_kind::other == codec.kind_of("x/servers/b1"));
+		CPPUNIT_ASSERT_EQUAL(std::string("east-a"), codec.name_of("op/evacuate/east-a"));
+		CPPUNIT_ASSERT_EQUAL(std::string("b1"), codec.name_of("servers/shop/b1"));
+		CPPUNIT_ASSERT_EQUAL(std::string("plain"), codec.name_of("plain"));
+	}
+
+	void node_key_is_written_under_its_prefix()
+	{
+		CPPUNIT_ASSERT_EQUAL(std::string("larkrack/nodes/n1"), platform_codec().node_key("n1"));
+	}
+
+	void routes_full_are_read()
+	{
+		const auto table = routes_of(R"({"Version": "v17",
+			"Routes": [{"Name": "pay", "Host": "Shop.example", "PathPrefix": "/pay/", "Kind": "non_idempotent",
+				"TimeoutMs": 2000, "ObjectiveMs": 400.9, "Priority": 2, "MaxAttempts": 3, "Sticky": true,
+				"HomeRegions": ["east", "west"],
+				"Split": [{"Service": "shop", "Weight": 0.75}, {"Service": "shop-next", "Weight": 0.25}],
+				"Unknown": {"Any": 1}}],
+			"Services": [{"Name": "shop", "HealthPath": "/health", "MaxConns": 4, "WarmupPerS": 2.5}],
+			"Limits": {"MaxHeaderBytes": 2048, "MaxBodyBytes": 100000, "HeaderTimeoutMs": 3000,
+				"IdleTimeoutMs": 7000}})");
+		CPPUNIT_ASSERT_EQUAL(std::uint64_t{17}, table->version());
+		const route* pay = table->find("shop.example:80", "/pay/1?x=/");
+		CPPUNIT_ASSERT(nullptr != pay);
+		CPPUNIT_ASSERT_EQUAL(std::string("pay"), pay->name);
+		CPPUNIT_ASSERT(repeat_rule::at_most_once == pay->repeat);
+		CPPUNIT_ASSERT(!pay->large_answers);
+		CPPUNIT_ASSERT(std::chrono::milliseconds(2000) == pay->timeout);
+		CPPUNIT_ASSERT(std::chrono::milliseconds(400) == pay->objective);
+		CPPUNIT_ASSERT_EQUAL(2, pay->priority);
+		CPPUNIT_ASSERT_EQUAL(3, pay->max_attempts);
+		CPPUNIT_ASSERT(pay->sticky);
+		CPPUNIT_ASSERT((std::vector<std::string>{"east", "west"}) == pay->home_regions);
+		CPPUNIT_ASSERT_EQUAL(std::size_t(2), pay->targets.size());
+		CPPUNIT_ASSERT_EQUAL(std::string("shop-next"), pay->targets[1].service);
+		CPPUNIT_ASSERT_EQUAL(0.25, pay->targets[1].weight);
+		const routed_service* shop = table->find_service("shop");
+		CPPUNIT_ASSERT(nullptr != shop);
+		CPPUNIT_ASSERT_EQUAL(4, shop->max_connections);
+		CPPUNIT_ASSERT_EQUAL(2.5, shop->warmup_requests_per_s);
+		CPPUNIT_ASSERT_EQUAL(2048U, table->limits().header_bytes);
+		CPPUNIT_ASSERT_EQUAL(std::uint64_t{100000}, table->limits().body_bytes);
+		CPPUNIT_ASSERT(std::chrono::milliseconds(3000) == table->limits().header_timeout);
+		CPPUNIT_ASSERT(std::chrono::milliseconds(7000) == table->limits().idle_timeout);
+	}
+
+	void routes_with_the_least_get_the_known_defaults()
+	{
+		const auto table =
+		    routes_of(R"({"Version": "", "Routes": [{"Host": "h", "PathPrefix": "/", "Service": "shop"}],
+			"Services": [{"Name": "shop"}]})");
+		CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, table->version());
+		const route* one = table->find("h", "/");
+		CPPUNIT_ASSERT(nullptr != one);
+		CPPUNIT_ASSERT_EQUAL(std::string(), one->name);
+		CPPUNIT_ASSERT(repeat_rule::at_most_once == one->repeat);
+		CPPUNIT_ASSERT_EQUAL(std::chrono::milliseconds::rep{0}, one->timeout.count());
+		CPPUNIT_ASSERT_EQUAL(std::chrono::milliseconds::rep{0}, one->objective.count());
+		CPPUNIT_ASSERT_EQUAL(0, one->priority);
+		CPPUNIT_ASSERT_EQUAL(1, one->max_attempts);
+		CPPUNIT_ASSERT(!one->sticky && !one->large_answers);
+		CPPUNIT_ASSERT(one->home_regions.empty());
+		CPPUNIT_ASSERT_EQUAL(std::size_t(1), one->targets.size());
+		CPPUNIT_ASSERT_EQUAL(std::string("shop"), one->targets[0].service);
+		CPPUNIT_ASSERT_EQUAL(1.0, one->targets[0].weight);
+		CPPUNIT_ASSERT_EQUAL(0, table->find_service("shop")->max_connections);
+		CPPUNIT_ASSERT_EQUAL(0.0, table->find_service("shop")->warmup_requests_per_s);
+		CPPUNIT_ASSERT_EQUAL(16384U, table->limits().header_bytes);
+		CPPUNIT_ASSERT_EQUAL(std::uint64_t{8388608}, table->limits().body_bytes);
+		CPPUNIT_ASSERT(std::chrono::milliseconds(10000) == table->limits().header_timeout);
+		CPPUNIT_ASSERT(std::chrono::milliseconds(15000) == table->limits().idle_timeout);
+	}
+
+	void routes_kinds_give_repeat_rules()
+	{
+		const auto route_of_kind = [](const std::string& _kind)
+		{
+			const auto table = routes_of(R"({"Version": "v1", "Services": [], "Routes": [{"Host": "h",
+				"PathPrefix": "/", "Service": "s", "MaxAttempts": 0, "Kind": ")" +
+			                             _kind + "\"}]}");
+			return *table->find("h", "/");
+		};
+		CPPUNIT_ASSERT(repeat_rule::repeatable == route_of_kind("idempotent").repeat);
+		CPPUNIT_ASSERT(!route_of_kind("idempotent").large_answers);
+		CPPUNIT_ASSERT(repeat_rule::repeatable == route_of_kind("download").repeat);
+		CPPUNIT_ASSERT(route_of_kind("download").large_answers);
+		CPPUNIT_ASSERT(repeat_rule::at_most_once == route_of_kind("non_idempotent").repeat);
+		CPPUNIT_ASSERT(repeat_rule::at_most_once == route_of_kind("other").repeat);
+		CPPUNIT_ASSERT_EQUAL(1, route_of_kind("idempotent").max_attempts);
+	}
+
+	void routes_that_are_incomplete_are_refused()
+	{
+		CPPUNIT_ASSERT_EQUAL(std::string("route r1 has no service"),
+		    refusal_of(R"({"Version": "v1", "Routes": [{"Name": "r1", "Host": "h", "PathPrefix": "/"}],
+				"Services": []})"));
+		refusal_of("no JSON");
+		refusal_of(R"({"Routes": [], "Services": []})");
+		refusal_of(R"({"Version": "v1", "Services": []})");
+		refusal_of(R"({"Version": "v1", "Routes": []})");
+		refusal_of(R"({"Version": "v1", "Routes": [{"PathPrefix": "/", "Service": "s"}], "Services": []})");
+		refusal_of(R"({"Version": "v1", "Routes": [{"Host": "h", "Service": "s"}], "Services": []})");
+		refusal_of(R"({"Version": "v1", "Routes": [], "Services": [{}]})");
+		refusal_of(R"({"Version": 1, "Routes": [], "Services": []})");
+	}
+
+	void routes_version_is_a_letter_and_a_number()
+	{
+		const auto version_of = [](const std::string& _text)
+		{
+			return routes_of(R"({"Routes": [], "Services": [], "Version": ")" + _text + "\"}")->version();
+		};
+		CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, version_of("v1"));
+		CPPUNIT_ASSERT_EQUAL(std::uint64_t{123456}, version_of("c123456"));
+		CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, version_of("v"));
+		CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, version_of("12"));
+		CPPUNIT_ASSERT_EQUAL(std::uint64_t{7}, version_of("v7-x"));
+		CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, version_of("vx"));
+	}
+
+	static backend_record backend_of(const std::string& _value)
+	{
+		result<backend_record> decoded = platform_codec().decode_backend("servers/shop/b1", _value);
+		const backend_record* record = value_of(decoded);
+		CPPUNIT_ASSERT(nullptr != record);
+		return *record;
+	}
+
+	void backend_full_is_read()
+	{
+		const backend_record record = backend_of(R"({"Address": "10.0.1.1:8080",
+			"Info": {"Service": "shop", "Zone": "east-a", "Slots": 4, "Id": "x"},
+			"Status": {"State": "ready", "WarmupLeftMs": 1500.5}})");
+		CPPUNIT_ASSERT_EQUAL(std::string("b1"), record.id);
+		CPPUNIT_ASSERT_EQUAL(std::string("shop"), record.service);
+		CPPUNIT_ASSERT_EQUAL(std::string("east-a"), record.domain);
+		CPPUNIT_ASSERT_EQUAL(std::string("10.0.1.1"), record.address.address().to_string());
+		CPPUNIT_ASSERT_EQUAL(std::uint16_t{8080}, record.address.port());
+		CPPUNIT_ASSERT_EQUAL(4, record.slots);
+		CPPUNIT_ASSERT(!record.draining);
+		CPPUNIT_ASSERT_EQUAL(std::chrono::milliseconds::rep{1500}, record.warmup_left.count());
+	}
+
+	void backend_with_the_least_gets_the_known_defaults()
+	{
+		const backend_record record =
+		    backend_of(R"({"Address": "10.0.1.1:8080", "Info": {"Service": "shop"}})");
+		CPPUNIT_ASSERT_EQUAL(std::string(), record.domain);
+		CPPUNIT_ASSERT_EQUAL(1, record.slots);
+		CPPUNIT_ASSERT(!record.draining);
+		CPPUNIT_ASSERT_EQUAL(std::chrono::milliseconds::rep{0}, record.warmup_left.count());
+	}
+
+	void backend_state_other_than_ready_is_draining()
+	{
+		CPPUNIT_ASSERT(backend_of(R"({"Address": "10.0.1.1:8080", "Info": {"Service": "shop"},
+			"Status": {"State": "draining"}})")
+		                   .draining);
+		CPPUNIT_ASSERT(backend_of(R"({"Address": "10.0.1.1:8080", "Info": {"Service": "shop"},
+			"Status": {"State": "starting"}})")
+		                   .draining);
+	}
+
+	void backend_that_is_incomplete_is_refused()
+	{
+		for (const char* value : {"no JSON", R"({"Info": {"Service": "shop"}})",
+		         R"({"Address": "10.0.1.1:80"})", R"({"Address": "10.0.1.1:80", "Info": {}})",
+		         R"({"Address": "nowhere", "Info": {"Service": "shop"}})", R"([])"})
+		{
+			const result<backend_record> decoded = platform_codec().decode_backend("servers/b1", value);
+			const error* refused = std::get_if<error>(&decoded);
+			CPPUNIT_ASSERT_MESSAGE(value, nullptr != refused);
+			CPPUNIT_ASSERT_EQUAL(std::string("bad_backend"), refused->code);
+		}
+	}
+
+	void headers_have_the_names_of_the_platform()
+	{
+		const header_names names = platform_dialect().headers();
+		CPPUNIT_ASSERT_EQUAL(std::string("Request-Id"), names.request_id);
+		CPPUNIT_ASSERT_EQUAL(std::string("Timeout-Ms"), names.timeout_ms);
+		CPPUNIT_ASSERT_EQUAL(std::string("Target-Instance"), names.target_id);
+		CPPUNIT_ASSERT_EQUAL(std::string("Not-Executed"), names.not_run);
+		CPPUNIT_ASSERT_EQUAL(std::string("Server-Load"), names.load);
+		CPPUNIT_ASSERT_EQUAL(std::string("Affinity-Key"), names.affinity_cookie);
+		CPPUNIT_ASSERT_EQUAL(std::string("Response-Signature"), names.signature);
+	}
+
+	void lookup_target_is_read()
+	{
+		const platform_dialect dialect;
+		const auto question = dialect.parse_lookup("/resolve?Zone=east-a&Name=shop.example&Region=east%2Dx");
+		CPPUNIT_ASSERT(question.has_value());
+		CPPUNIT_ASSERT_EQUAL(std::string("shop.example"), question->host);
+		CPPUNIT_ASSERT_EQUAL(std::string("east-x"), question->region);
+		CPPUNIT_ASSERT_EQUAL(std::string("east-a"), question->domain);
+		const auto empty = dialect.parse_lookup("/resolve");
+		CPPUNIT_ASSERT(empty.has_value());
+		CPPUNIT_ASSERT(empty->host.empty() && empty->region.empty() && empty->domain.empty());
+		CPPUNIT_ASSERT(!dialect.parse_lookup("/resolve/").has_value());
+		CPPUNIT_ASSERT(!dialect.parse_lookup("/other?Name=shop.example").has_value());
+	}
+
+	void lookup_answer_has_the_known_text()
+	{
+		const platform_dialect dialect;
+		CPPUNIT_ASSERT_EQUAL(std::string(R"({"Addresses":["10.0.0.1:80","10.0.0.2:80"],"TtlS":1.5})"),
+		    dialect.render_lookup({"10.0.0.1:80", "10.0.0.2:80"}, std::chrono::milliseconds(1500)));
+		CPPUNIT_ASSERT_EQUAL(std::string(R"({"Addresses":[],"TtlS":1.0})"),
+		    dialect.render_lookup({}, std::chrono::milliseconds(1000)));
+	}
+};
+
+CPPUNIT_TEST_SUITE_REGISTRATION(platform_keys_form_test);
+} // namespace larkrack
