--- a/include/larkrack/outcome.h
+++ b/include/larkrack/outcome.h
@@ -69,7 +69,7 @@
     "Larkrack-First-Try"; ///< "1": the caller has not sent this key before.
 constexpr const char* k_header_deadline = "Larkrack-Deadline-Ms"; ///< Milliseconds that remain.
 constexpr const char* k_header_priority = "Larkrack-Priority";    ///< 0 (lowest) to 9.
-constexpr const char* k_header_caller = "Larkrack-Caller"; ///< Address of the caller, from a trusted front.
+constexpr const char* k_header_caller = "Larkrack-Caller"; ///< Address of the caller, from a trusted proxy.
 constexpr const char* k_header_outcome = "Larkrack-Outcome";
 constexpr const char* k_header_reason = "Larkrack-Reason";
 constexpr const char* k_header_retry_after_ms = "Larkrack-Retry-After-Ms";
--- a/src/clock_p.h
+++ b/src/clock_p.h
@@ -26,7 +26,7 @@
 	}
 	/// @returns Time for intervals and timers.
 	virtual steady_time steady() const = 0;
-	/// @returns Time that can be compared between machines, within the assumed skew.
+	/// @returns Time that can be compared between VMs, within the assumed skew.
 	virtual wall_time wall() const = 0;
 };
 
--- a/tests/forwarder_test.cpp
+++ b/tests/forwarder_test.cpp
@@ -292,7 +292,7 @@
 		const steady_time begin = m_clock.steady();
 		const caller_response response = ask(request("GET", "/read/1", "r2"));
 		CPPUNIT_ASSERT_EQUAL(503U, response.result_int());
-		// A quarter of the objective, and time for a busy machine.
+		// A quarter of the objective, and time for a busy host.
 		CPPUNIT_ASSERT(m_clock.steady() - begin < std::chrono::milliseconds(1400));
 		CPPUNIT_ASSERT_EQUAL(std::size_t(1), m_backends[0]->requests.size());
 	}
