--- /dev/null
+++ b/tests/forms/programs.py
@@ -0,0 +1,371 @@
+#!/usr/bin/env python3
+# Copyright 2026 the larkrack developers. All rights reserved.
+# License: BSD 2-Clause, see LICENSE.
+"""Forms of larkrack-edge that show only from outside: command line, log lines, metrics, calls to the store.
+
+usage: tests/forms/programs.py [PROGRAM]     (build/bin/larkrack-edge)
+
+Runs the program on loopback beside the stand-ins of the soak and compares with the texts in this file.
+"""
+import asyncio
+import json
+import os
+import pathlib
+import random
+import signal
+import subprocess
+import sys
+import tempfile
+import unittest
+
+ROOT = pathlib.Path(__file__).resolve().parents[2]
+sys.path.insert(0, str(ROOT / "platform/soak"))
+
+import kv_store  # noqa: E402
+import wire  # noqa: E402
+
+PROGRAM = str(ROOT / "build/bin/larkrack-edge")
+STORE = ("127.91.0.1", 18200)
+BACKEND = ("127.91.0.2", 18100)
+NODES = ("127.91.1.1", "127.91.1.2")
+CALLERS, READINESS, LOOKUPS, PEERS, METRICS = 18080, 18081, 18082, 18083, 18084
+WAIT_S = 15.0  # Longest wait for a log line; nothing is measured.
+
+USAGE = ("usage: larkrack-edge [--check] [SETTINGS.json]   (or its path in LARKRACK_CONFIG)\n"
+         "  --check   tells all mistakes in the settings and ends\n")
+
+# Keys behind t_us, node, event and name, in order.
+LOG_LINES = {
+    (1001, "node_started"): "region domain callers",
+    (1002, "node_stopping"): "in_flight",
+    (1003, "node_stopped"): "in_flight",
+    (1101, "platform_up"): "failures",
+    (1102, "platform_down"): "",
+    (1201, "config_taken"): "config revision routes",
+    (1202, "config_refused"): "why revision",
+    (1301, "peer_up"): "peer incarnation silent_ms",
+    (1302, "peer_suspected"): "peer incarnation silent_ms",
+    (1901, "request_ended"): "id route service config status outcome reason region backend attempts unsent ms",
+    (1902, "attempt_failed"): "id service backend why busy ms",
+    (1903, "backend_changed"): "backend service domain state warmup_ms revision",
+    (1904, "backend_removed"): "backend",
+    (1905, "domain_evacuated"): "domains",
+    (1907, "settings_reloaded"): "seeds",
+    (1908, "settings_refused"): "why",
+    (1910, "store_resynced"): "keys revision",
+}
+
+METRIC_TYPES = """\
+larkrack_attempts gauge Requests sent to backend servers since the start.
+larkrack_backend_servers gauge Backend servers in the registry.
+larkrack_caller_connections gauge Open connections of callers.
+larkrack_callers_left gauge Callers that left before their answer.
+larkrack_config_version gauge Version of the configuration in force.
+larkrack_in_flight gauge Requests whose answer is due.
+larkrack_log_lines_dropped gauge Lines of the log that were dropped.
+larkrack_lookups_total counter Look-ups answered.
+larkrack_nodes gauge Other nodes that were heard of.
+larkrack_queued gauge Requests that waited for a slot.
+larkrack_relays_total counter Requests sent on to another entry VM.
+larkrack_request_seconds histogram Time from taking a request to the end of its answer, in seconds.
+larkrack_requests_taken gauge Requests taken since the start.
+larkrack_requests_total counter Requests by service, outcome and reason.
+larkrack_retries_denied gauge Retries that the budget did not allow.
+larkrack_retries_total counter Second tries of this entry VM.
+larkrack_store_calls gauge Calls to the store by use.
+larkrack_store_reached gauge Whether the store answered the last call.
+larkrack_store_revision gauge Revision up to which the store's keys are known.
+"""
+
+METRIC_LABELS = {
+    "larkrack_requests_total": {("outcome", "reason", "service")},
+    "larkrack_request_seconds_bucket": {("le",)},
+    "larkrack_store_calls": {("use",)},
+}
+BUCKETS = ["0.0005", "0.001", "0.002", "0.005", "0.01", "0.02", "0.05", "0.1", "0.2", "0.5", "1", "2", "5", "10",
+           "+Inf"]
+
+
+def settings(number=0):
+    ip = NODES[number]
+    return {"name": "n%d" % (number + 1), "region": "east", "domain": "east-a", "ip": ip,
+            "listen": {"callers": "%s:%d" % (ip, CALLERS), "readiness": "%s:%d" % (ip, READINESS),
+                       "lookups": "%s:%d" % (ip, LOOKUPS), "peers": "%s:%d" % (ip, PEERS),
+                       "metrics": "%s:%d" % (ip, METRICS)},
+            "inner_ports": [18090, 18099], "store": "%s:%d" % STORE, "seeds": ["%s:%d" % (one, PEERS) for one in NODES],
+            "regions": {"east-a": "east"}, "max_descriptors": 1000,
+            "bounds": {"retry_ratio": 0.2, "retry_slack": 50, "retry_window_s": 10, "max_shift": 0.15,
+                       "lookup_ttl_max_s": 1, "grace_s": 6}}
+
+
+def configuration(version):
+    return json.dumps({"Version": version, "Services": [{"Name": "shop"}],
+                       "Routes": [{"Name": "pay", "Host": "shop.example", "PathPrefix": "/pay/", "Service": "shop",
+                                   "MaxAttempts": 2, "TimeoutMs": 2000, "ObjectiveMs": 400}]})
+
+
+class CommandLine(unittest.TestCase):
+    """Usage, messages and exit codes."""
+
+    def setUp(self):
+        self.folder = tempfile.TemporaryDirectory()
+        self.addCleanup(self.folder.cleanup)
+
+    def write(self, name, text):
+        path = os.path.join(self.folder.name, name)
+        with open(path, "w") as out:
+            out.write(text if isinstance(text, str) else json.dumps(text))
+
+    def check(self, arguments, code, out, err, environment=None):
+        clean = {name: value for name, value in os.environ.items() if "LARKRACK_CONFIG" != name}
+        done = subprocess.run([PROGRAM] + arguments, cwd=self.folder.name, capture_output=True, text=True,
+                              env={**clean, **(environment or {})}, timeout=WAIT_S, check=False)
+        self.assertEqual((code, out, err), (done.returncode, done.stdout, done.stderr), arguments)
+
+    def test_wrong_usage_prints_usage_and_ends_with_2(self):
+        for arguments in ([], ["--help"], ["--check"], ["a", "b"], [""], ["-x"], ["--check=true", "a"]):
+            self.check(arguments, 2, "", USAGE)
+
+    def test_file_unreadable_ends_with_2(self):
+        self.check(["missing.json"], 2, "", "larkrack-edge: missing.json: can not be read\n")
+        self.write("broken.json", "{")
+        self.check(["--check", "broken.json"], 2, "",
+                   "larkrack-edge: broken.json: [json.exception.parse_error.101] parse error at line 1, column 2: "
+                   "syntax error while parsing object key - unexpected end of input; expected string literal\n")
+
+    def test_settings_valid_checked_end_with_0(self):
+        self.write("ok.json", settings())
+        self.check(["--check", "ok.json"], 0, "ok.json: valid\n", "")
+        self.check(["ok.json", "--check", "--check"], 0, "ok.json: valid\n", "")
+        self.check(["--check"], 0, "ok.json: valid\n", "", {"LARKRACK_CONFIG": "ok.json"})
+        self.check(["--check", "ok.json"], 0, "ok.json: valid\n", "", {"LARKRACK_CONFIG": "missing.json"})
+
+    def test_keys_unknown_are_told_with_the_nearest_one(self):
+        document = settings()
+        document.update({"seed": [], "zzzzzzzzzzzz": 1})
+        document["listen"]["caller"] = "x"
+        self.write("unknown.json", document)
+        self.check(["--check", "unknown.json"], 0, "unknown.json: valid\n",
+                   "larkrack-edge: /listen/caller is not known and is passed over; did you mean callers?\n"
+                   "larkrack-edge: /seed is not known and is passed over; did you mean seeds?\n"
+                   "larkrack-edge: /zzzzzzzzzzzz is not known and is passed over\n")
+
+    def test_settings_invalid_all_mistakes_are_told(self):
+        document = settings()
+        document.update({"name": "", "store": "nowhere", "inner_ports": [1]})
+        document["bounds"]["retry_ratio"] = 3
+        document["listen"]["callers"] = ""
+        del document["region"]
+        self.write("bad.json", document)
+        self.check(["bad.json"], 2, "",
+                   "larkrack-edge: bad.json:\n"
+                   "/bounds/retry_ratio: 3: Expected number less than or equal to 1.000000\n"
+                   "/inner_ports: [1]: Array should contain no fewer than 2 elements.\n"
+                   "/listen/callers: \"\": Failed to match regex specified by 'pattern' constraint.\n"
+                   "/name: \"\": String should be no fewer than 1 characters in length.\n"
+                   "/store: \"nowhere\": Failed to match regex specified by 'pattern' constraint.\n"
+                   "/: {\"bounds\":{\"grace_s\":6,\"lookup_ttl_max_s\":1,\"max_shift\":0.15...: "
+                   "Missing required property 'region'.\n")
+
+    def test_address_not_to_be_had_ends_with_1(self):
+        document = settings()
+        document["listen"]["callers"] = "192.0.2.1:18080"
+        self.write("away.json", document)
+        self.check(["away.json"], 1, "",
+                   "larkrack-edge: can not listen on 192.0.2.1:18080: Cannot assign requested address\n")
+
+
+class RecordedStore(kv_store.KvStore):
+    """Keeps the first call of each kind as it came."""
+
+    def __init__(self):
+        super().__init__(random.Random(1))
+        self.calls = {}
+        self.away = False
+
+    async def _call(self, request):
+        kind = request.start[0] + " " + request.target.split("?")[0].rstrip("0123456789")
+        self.calls.setdefault(kind, request)
+        return (503, {}) if self.away else await super()._call(request)
+
+
+class Node:
+    """One process, with its log lines."""
+
+    def __init__(self, folder, number):
+        self.path = os.path.join(folder, "n%d.json" % (number + 1))
+        self.document = settings(number)
+        self.lines = []
+        self.arrived = asyncio.Condition()
+
+    def write_settings(self):
+        with open(self.path, "w") as out:
+            json.dump(self.document, out)
+
+    async def start(self):
+        self.write_settings()
+        self.process = await asyncio.create_subprocess_exec(PROGRAM, self.path, stdout=asyncio.subprocess.PIPE)
+        self.reader = asyncio.create_task(self._read())
+
+    async def _read(self):
+        while line := await self.process.stdout.readline():
+            async with self.arrived:
+                self.lines.append(json.loads(line))
+                self.arrived.notify_all()
+
+    async def until(self, name):
+        """Waits for the first line of an event."""
+        async with self.arrived:
+            await asyncio.wait_for(
+                self.arrived.wait_for(lambda: any(line["name"] == name for line in self.lines)), WAIT_S)
+
+    async def stop(self):
+        if self.process.returncode is None:
+            self.process.send_signal(signal.SIGTERM)
+        await self.process.wait()
+        await self.reader
+
+
+async def call(address, method, target, headers=None, body=b""):
+    reader, writer = await asyncio.open_connection(*address)
+    writer.write(wire.render("%s %s HTTP/1.1" % (method, target), headers or {}, body))
+    answer = await wire.read_message(reader)
+    writer.close()
+    return answer
+
+
+class Running(unittest.IsolatedAsyncioTestCase):
+    """Two nodes through start, changes, an outage of the store, a reload and a planned stop."""
+
+    async def serve_backend(self, reader, writer):
+        """Answers the first request as not run, all others as run."""
+        while request := await wire.read_message(reader):
+            self.served += 1
+            headers = {"Request-Id": request.headers["request-id"]}
+            if 1 == self.served:
+                writer.write(wire.answer(503, {**headers, "Not-Executed": "1"}))
+            else:
+                writer.write(wire.answer(200, {**headers, "Response-Signature": "s"}, b"fine"))
+        writer.close()
+
+    async def pay(self, number):
+        return await call((NODES[0], CALLERS), "POST", "/pay/1",
+                          {"Host": "shop.example", "Request-Id": "r%d" % number, "Timeout-Ms": "1500"}, b"x")
+
+    async def play(self, folder):
+        store = RecordedStore()
+        server = await store.serve(*STORE)
+        self.served = 0
+        backend_server = await asyncio.start_server(self.serve_backend, *BACKEND)
+        await store.put("op/config", configuration("v7"))
+        await store.put("servers/b1", json.dumps({"Address": "%s:%d" % BACKEND,
+                                                  "Info": {"Service": "shop", "Zone": "east-a", "Slots": 2}}))
+        one, two = Node(folder, 0), Node(folder, 1)
+        try:
+            await one.start()
+            await one.until("config_taken")
+            await two.start()
+            await one.until("peer_up")
+            for number in range(20):
+                await self.pay(number)
+            await store.put("op/evacuate/east-a", "1")
+            await one.until("domain_evacuated")
+            await store.remove("servers/b1")
+            await one.until("backend_removed")
+            await store.put("op/config", "{}")
+            await one.until("config_refused")
+            lookup = await call((NODES[0], LOOKUPS), "GET", "/resolve?Name=shop.example&Region=east&Zone=east-a")
+            ready = await call((NODES[0], READINESS), "GET", "/")
+            metrics = await call((NODES[0], METRICS), "GET", "/metrics")
+            changes = await call((NODES[0], PEERS), "GET", "/changes?after=0&routes=0")
+            store.away = True
+            await one.until("platform_down")
+            store.away = False
+            await one.until("platform_up")
+            one.process.send_signal(signal.SIGHUP)
+            await one.until("settings_reloaded")
+            one.document["name"] = ""
+            one.write_settings()
+            one.process.send_signal(signal.SIGHUP)
+            await one.until("settings_refused")
+            two.process.kill()
+            await two.process.wait()
+            await one.until("peer_suspected")
+        finally:
+            await asyncio.gather(one.stop(), two.stop())
+            await store.put("end", "")  # Ends the watches that wait.
+            await asyncio.sleep(0.1)
+            server.close()
+            backend_server.close()
+        return store, one, lookup, ready, metrics, changes
+
+    async def test_forms_from_outside(self):
+        with tempfile.TemporaryDirectory() as folder:
+            store, node, lookup, ready, metrics, changes = await self.play(folder)
+        with self.subTest("log"):
+            self.check_log(node)
+        with self.subTest("store"):
+            self.check_store(store)
+        with self.subTest("metrics"):
+            self.check_metrics(metrics)
+        with self.subTest("lookup"):
+            self.assertEqual("application/json", lookup.headers["content-type"])
+            self.assertIn(lookup.body, (b'{"Addresses":["127.91.1.1:18080","127.91.1.2:18080"],"TtlS":1.0}',
+                                        b'{"Addresses":["127.91.1.2:18080","127.91.1.1:18080"],"TtlS":1.0}'))
+        with self.subTest("readiness"):
+            self.assertEqual((200, b""), (ready.status, ready.body))
+        with self.subTest("peers"):
+            self.assertEqual("application/cbor", changes.headers["content-type"])
+            self.assertEqual(b"\x86\x18\x66\x00", changes.body[:4])
+        with self.subTest("exit"):
+            self.assertEqual(0, node.process.returncode)
+
+    def check_log(self, node):
+        seen = {}
+        for line in node.lines:
+            self.assertEqual(["t_us", "node", "event", "name"], list(line)[:4])
+            self.assertEqual("n1", line["node"])
+            seen.setdefault((line["event"], line["name"]), " ".join(list(line)[4:]))
+        self.assertEqual(LOG_LINES, {key: fields for key, fields in seen.items() if key in LOG_LINES})
+        # The planned stop tells of it, and so does the end of the process.
+        self.assertEqual(["node_stopped"] * 2, [line["name"] for line in node.lines[-2:]])
+        self.assertEqual(["t_us", "node", "event", "name"], list(node.lines[-1]))
+
+    def check_store(self, store):
+        self.assertEqual({"GET /kv-range", "GET /kv-watch", "POST /kv-lease", "POST /kv-txn"},
+                         set(store.calls) - {"GET /kv-key", "POST /kv-keep/"})
+        self.assertEqual("/kv-range?PathPrefix=", store.calls["GET /kv-range"].target)
+        self.assertRegex(store.calls["GET /kv-watch"].target, r"^/kv-watch\?PathPrefix=&after=\d+&WaitMs=2500$")
+        self.assertEqual(b'{"ttl_ms":30000}', store.calls["POST /kv-lease"].body)
+        registration = json.loads(store.calls["POST /kv-txn"].body)
+        self.assertEqual(["ExpectedRev", "Remove", "put"], list(registration))
+        self.assertEqual(([], []), (registration["ExpectedRev"], registration["Remove"]))
+        lease = registration["put"][0].pop("lease")
+        self.assertIn(lease, store.leases)
+        # The value is the node's address in base64.
+        self.assertEqual([{"Key": "larkrack/nodes/n1", "Value": "MTI3LjkxLjEuMQ=="}], registration["put"])
+
+    def check_metrics(self, answer):
+        self.assertEqual("text/plain; version=0.0.4", answer.headers["content-type"])
+        helps, types, labels, buckets = {}, [], {}, []
+        for line in answer.body.decode().splitlines():
+            if line.startswith("# HELP "):
+                name, text = line[len("# HELP "):].split(" ", 1)
+                helps[name] = text
+            elif line.startswith("# TYPE "):
+                name, kind = line[len("# TYPE "):].split(" ")
+                types.append("%s %s %s\n" % (name, kind, helps[name]))
+            elif "{" in line:
+                name, rest = line.split("{", 1)
+                pairs = [pair.split("=") for pair in rest.split("}")[0].split(",")]
+                labels.setdefault(name, set()).add(tuple(sorted(pair[0] for pair in pairs)))
+                buckets += [pair[1].strip('"') for pair in pairs if "le" == pair[0]]
+        self.assertEqual(METRIC_TYPES, "".join(sorted(types)))
+        self.assertEqual(METRIC_LABELS, labels)
+        self.assertEqual(BUCKETS, buckets)
+
+
+if __name__ == "__main__":
+    if len(sys.argv) > 1 and not sys.argv[1].startswith("-"):
+        PROGRAM = os.path.abspath(sys.argv.pop(1))
+    unittest.main()
