--- a/src/callers.cpp
+++ b/src/callers.cpp
@@ -40,10 +40,6 @@
 	http_request request =
 	    make_request(http::verb::get, "/.larkrack/lookup?service=" + _operation.service, _where);
 	request.set(k_header_caller, _operation.caller);
-	if (!m_traceparent.empty())
-	{
-		request.set(k_header_traceparent, m_traceparent);
-	}
 	result<http_response> called = caller.call(_where, request, k_lookup_timeout, _yield);
 	const http_response* response = value_of(called);
 	const nlohmann::json body =
@@ -115,10 +111,6 @@
 			request.set(k_header_first_try, "1");
 		}
 	}
-	if (!m_traceparent.empty())
-	{
-		request.set(k_header_traceparent, m_traceparent);
-	}
 	return request;
 }
 
@@ -223,7 +215,7 @@
 	if ("payment" == _operation.kind)
 	{
 		const std::string own = "k" + std::to_string(m_random()) + "-" + std::to_string(++m_next_key);
-		key = _operation.bare_key || found.grant.empty() ? own : found.grant + "/" + own;
+		key = found.grant.empty() ? own : found.grant + "/" + own;
 	}
 	int second_tries = _operation.second_tries;
 	for (int attempt = 0; attempt < k_sends + _operation.second_tries; ++attempt)
--- a/src/callers_p.h
+++ b/src/callers_p.h
@@ -29,9 +29,7 @@
 	int priority = 5;
 	int deadline_ms = 5000;
 	std::uint64_t read_rate = 0; ///< Bytes a second that the caller reads; 0: as fast as it can.
-	int second_tries =
-	    1; ///< Further tries after an unknown outcome, or after any failure of a repeatable request.
-	bool bare_key = false; ///< The key is the caller's own, not built on a grant.
+	int second_tries = 1;        ///< Further tries after an unknown outcome.
 };
 
 /// Plays callers. One thread.
@@ -48,11 +46,6 @@
 	{
 		return m_in_flight;
 	}
-	/// Entry VMs that callers ask first; empty: those of their region.
-	void set_traceparent(std::string _traceparent)
-	{
-		m_traceparent = std::move(_traceparent);
-	}
 
 private:
 	struct choice
@@ -100,7 +93,6 @@
 	connection_pool m_pool;
 	std::mt19937_64 m_random;
 	std::map<std::string, looked_up> m_cache;
-	std::string m_traceparent;
 	std::uint64_t m_next_key = 0;
 	int m_in_flight = 0;
 };
--- a/src/checker.cpp
+++ b/src/checker.cpp
@@ -114,7 +114,6 @@
 		{
 			if (one.slots < one.running)
 			{
-				++m_report.over_slots;
 				add("over_slots", one.backend + " ran " + std::to_string(one.running) + " at once");
 			}
 			m_ran_ids.insert(one.id);
@@ -127,7 +126,6 @@
 			m_key_start[one.key] = m_key_start.end() == it ? one.start : std::min(it->second, one.start);
 			if (2 == m_key_runs[one.key])
 			{
-				++m_report.run_twice;
 				add("run_twice", one.key);
 			}
 		}
--- a/src/checker_p.h
+++ b/src/checker_p.h
@@ -50,8 +50,6 @@
 	std::uint64_t not_run = 0;
 	std::uint64_t unknown = 0;
 	std::uint64_t runs = 0;
-	std::uint64_t over_slots = 0;
-	std::uint64_t run_twice = 0;
 	double max_gain_over_cap = 0.0; ///< Largest gain of a region in a window, as a part of the cap.
 	double last_new_work_s = -1.0;  ///< After a drain's order; negative: there was no drain.
 	double headroom_min = 1.0;      ///< Smallest free part of a region's slots for one service.
--- a/src/fake_backend.cpp
+++ b/src/fake_backend.cpp
@@ -12,7 +12,6 @@
 namespace
 {
 constexpr double k_cold_factor = 5.0;
-constexpr std::size_t k_load_samples = 4096;
 constexpr std::size_t k_cancelled_kept = 20000;
 
 std::int64_t number_or(const std::string& _text, std::int64_t _default)
@@ -44,7 +43,6 @@
 	m_faults.shed_share = _faults.value("shed_share", m_faults.shed_share);
 	m_faults.slow = _faults.value("slow", m_faults.slow);
 	m_faults.lie = _faults.value("lie", m_faults.lie);
-	m_faults.report_lag_ms = _faults.value("report_lag_ms", m_faults.report_lag_ms);
 	m_faults.dead = _faults.value("dead", m_faults.dead);
 	m_faults.cut_share = _faults.value("cut_share", m_faults.cut_share);
 	m_faults.cold_requests = _faults.value("cold_requests", m_faults.cold_requests);
@@ -52,8 +50,7 @@
 
 nlohmann::json fake_backend::counts() const
 {
-	return {{"name", m_options.name}, {"running", m_running}, {"peak", m_peak}, {"over_slots", m_over},
-	    {"total", m_total}, {"slots", m_options.slots}, {"connections", m_server.connections()}};
+	return {{"name", m_options.name}, {"running", m_running}, {"total", m_total}};
 }
 
 double fake_backend::chance()
@@ -90,20 +87,9 @@
 
 void fake_backend::handle_load(http_session& _session, const yield_context& _yield)
 {
-	const std::int64_t now = to_us(m_clock.steady());
-	const std::int64_t wanted = now - std::int64_t{1000} * m_faults.report_lag_ms;
-	int running = m_running;
-	if (0 < m_faults.report_lag_ms)
-	{
-		running = 0;
-		for (const auto& [at, count] : m_loads)
-		{
-			running = at <= wanted ? count : running;
-		}
-	}
-	double load = static_cast<double>(running) / m_options.slots;
-	load = m_faults.lie < 0.0 ? load : m_faults.lie;
-	const nlohmann::json body = {{"running", running}, {"slots", m_options.slots}, {"load", load},
+	const double true_load = static_cast<double>(m_running) / m_options.slots;
+	const double load = m_faults.lie < 0.0 ? true_load : m_faults.lie;
+	const nlohmann::json body = {{"running", m_running}, {"slots", m_options.slots}, {"load", load},
 	    {"cold", 0 < m_faults.cold_requests}};
 	http_response response = make_json(http::status::ok, body.dump());
 	_session.send(response, _yield);
@@ -171,15 +157,8 @@
 	one->start = to_us(m_clock.wall());
 	one->expires = number_or(header_of(_request, k_header_expires), INT64_MAX);
 	one->running = ++m_running;
-	m_peak = std::max(m_peak, m_running);
-	m_over += m_options.slots < m_running ? 1 : 0;
 	++m_total;
 	m_active[one->id] = one;
-	m_loads.emplace_back(to_us(m_clock.steady()), m_running);
-	if (k_load_samples < m_loads.size())
-	{
-		m_loads.erase(m_loads.begin(), m_loads.begin() + k_load_samples / 2);
-	}
 	// Above its slots it slows down for everybody: that is what makes it fragile.
 	double factor = m_faults.slow * std::max(1.0, static_cast<double>(m_running) / m_options.slots);
 	if (0 < m_faults.cold_requests)
--- a/src/fake_backend_p.h
+++ b/src/fake_backend_p.h
@@ -23,7 +23,6 @@
 	double shed_share = 0.0; ///< Part of requests that it refuses before running them.
 	double slow = 1.0;       ///< Factor on its service time.
 	double lie = -1.0;       ///< Load that it reports instead of the true one; negative: the truth.
-	int report_lag_ms = 0;   ///< Age of the load that it reports.
 	bool dead = false;       ///< Connections are closed at once.
 	double cut_share = 0.0;  ///< Part of answers that break off.
 	int cold_requests = 0;   ///< Requests until it is warm.
@@ -96,10 +95,7 @@
 	std::mt19937_64 m_random;
 	std::unordered_map<std::string, run_ptr> m_active;
 	std::set<std::string> m_cancelled;
-	std::vector<std::pair<std::int64_t, int>> m_loads;
 	int m_running = 0;
-	int m_peak = 0;
-	int m_over = 0;
 	std::uint64_t m_total = 0;
 	http_server m_server;
 };
--- a/src/fake_platform.cpp
+++ b/src/fake_platform.cpp
@@ -82,13 +82,6 @@
 	m_faults.outage = _faults.value("outage", m_faults.outage);
 	m_faults.slow_ms = _faults.value("slow_ms", m_faults.slow_ms);
 	m_faults.lose_answers = _faults.value("lose_answers", m_faults.lose_answers);
-	m_faults.max_calls_s = _faults.value("max_calls_s", m_faults.max_calls_s);
-	m_faults.freeze_vms = _faults.value("freeze_vms", m_faults.freeze_vms);
-	m_faults.vms_lag_ms = _faults.value("vms_lag_ms", m_faults.vms_lag_ms);
-	if (_faults.value("lapse_leases", false))
-	{
-		m_engine.lapse_all();
-	}
 	if (_faults.value("save", false))
 	{
 		m_saved = m_engine;
@@ -106,21 +99,7 @@
 
 nlohmann::json fake_platform::counts() const
 {
-	return {{"calls", m_calls}, {"peak_calls_s", m_peak}, {"watches", m_watches},
-	    {"revision", m_engine.revision()}};
-}
-
-bool fake_platform::over_rate()
-{
-	const std::int64_t second = to_us(m_clock.steady()) / 1000000;
-	if (second != m_second)
-	{
-		m_second = second;
-		m_in_second = 0;
-	}
-	++m_in_second;
-	m_peak = std::max(m_peak, m_in_second);
-	return 0 < m_faults.max_calls_s && m_faults.max_calls_s < m_in_second;
+	return {{"calls", m_calls}, {"revision", m_engine.revision()}};
 }
 
 void fake_platform::handle(http_session& _session, http_request& _request, const yield_context& _yield)
@@ -141,12 +120,6 @@
 		_session.close();
 		return;
 	}
-	if (over_rate())
-	{
-		http_response busy = make_json(http::status::too_many_requests, "{}");
-		_session.send(busy, _yield);
-		return;
-	}
 	if ("/vms" == path)
 	{
 		http_response list = make_json(http::status::ok, shown_vms().dump());
@@ -263,7 +236,6 @@
 	const std::string created =
 	    nlohmann::json({{"result", {{"header", header()}, {"created", true}}}}).dump() + "\n";
 	open = open && _session.send_piece(created.data(), created.size(), _yield);
-	++m_watches;
 	while (open && epoch == m_epoch && !_session.is_gone())
 	{
 		for (const watch_batch& batch : m_engine.changes(prefix, next))
@@ -285,19 +257,11 @@
 		}
 		sleep_for(m_context.get_executor(), k_watch_poll, _yield);
 	}
-	--m_watches;
 	_session.close();
 }
 
-nlohmann::json fake_platform::shown_vms()
+nlohmann::json fake_platform::shown_vms() const
 {
-	const steady_time now = m_clock.steady();
-	while (!m_faults.freeze_vms && !m_vm_changes.empty() && m_vm_changes.front().first <= now)
-	{
-		const nlohmann::json vm = m_vm_changes.front().second;
-		m_vm_changes.erase(m_vm_changes.begin());
-		m_vms[vm.value("name", "")] = vm;
-	}
 	nlohmann::json list = nlohmann::json::array();
 	for (const auto& [name, vm] : m_vms.items())
 	{
@@ -306,11 +270,6 @@
 	return {{"vms", list}};
 }
 
-void fake_platform::put_vm(const nlohmann::json& _vm)
-{
-	m_vm_changes.emplace_back(m_clock.steady() + std::chrono::milliseconds(m_faults.vms_lag_ms), _vm);
-}
-
 void fake_platform::handle_fake(
     http_session& _session, const http_request& _request, const yield_context& _yield)
 {
@@ -324,13 +283,12 @@
 	{
 		for (const nlohmann::json& vm : body)
 		{
-			put_vm(vm);
+			m_vms[vm.value("name", "")] = vm;
 		}
 	}
 	else if ("/fake/counts" == path && http::verb::delete_ == _request.method())
 	{
 		m_calls.clear();
-		m_peak = 0;
 	}
 	else if ("/fake/counts" != path)
 	{
--- a/src/fake_platform_p.h
+++ b/src/fake_platform_p.h
@@ -12,12 +12,9 @@
 /// Faults of the platform stand-in.
 struct platform_faults
 {
-	bool outage = false;     ///< Connections are closed without an answer.
-	int slow_ms = 0;         ///< Each answer is held back.
-	int lose_answers = 0;    ///< So many next writes take effect, but get no answer.
-	int max_calls_s = 0;     ///< Calls above are refused; 0: no limit.
-	bool freeze_vms = false; ///< The list of VMs stands still.
-	int vms_lag_ms = 0;      ///< Changes to the list of VMs show later.
+	bool outage = false;  ///< Connections are closed without an answer.
+	int slow_ms = 0;      ///< Each answer is held back.
+	int lose_answers = 0; ///< So many next writes take effect, but get no answer.
 };
 
 /// Serves the key-value calls, "/vms", and "/fake/..." for tests. Runs on one thread.
@@ -34,7 +31,7 @@
 	}
 	/// Sets faults from JSON; unknown fields are ignored.
 	void set_faults(const nlohmann::json& _faults);
-	/// @returns Calls by path, the peak of calls in one second, and watches that wait.
+	/// @returns Calls by path, and the revision.
 	nlohmann::json counts() const;
 	store_engine& engine()
 	{
@@ -49,9 +46,7 @@
 	nlohmann::json call_range(const nlohmann::json& _body) const;
 	nlohmann::json call_txn(const nlohmann::json& _body);
 	nlohmann::json header() const;
-	nlohmann::json shown_vms();
-	void put_vm(const nlohmann::json& _vm);
-	bool over_rate();
+	nlohmann::json shown_vms() const;
 	void run_leases(const yield_context& _yield);
 
 	asio::io_context& m_context;
@@ -60,13 +55,8 @@
 	store_engine m_saved;
 	platform_faults m_faults;
 	std::map<std::string, std::uint64_t> m_calls;
-	std::int64_t m_second = 0;
-	int m_in_second = 0;
-	int m_peak = 0;
-	int m_watches = 0;
 	std::uint64_t m_epoch = 0; ///< Changes when all watches must break.
 	nlohmann::json m_vms = nlohmann::json::object();
-	std::vector<std::pair<steady_time, nlohmann::json>> m_vm_changes;
 	http_server m_server;
 };
 } // namespace larkrack
--- a/src/store_engine.cpp
+++ b/src/store_engine.cpp
@@ -81,10 +81,6 @@
 		}
 	}
 	m_log.emplace_back(m_revision, _writes);
-	if (m_tell)
-	{
-		m_tell();
-	}
 }
 
 std::int64_t store_engine::lease_grant(std::chrono::seconds _ttl, steady_time _now)
@@ -137,14 +133,6 @@
 	}
 }
 
-void store_engine::lapse_all()
-{
-	while (!m_leases.empty())
-	{
-		lease_revoke(m_leases.begin()->first);
-	}
-}
-
 std::vector<watch_batch> store_engine::changes(const std::string& _prefix, std::int64_t _from) const
 {
 	const auto older = [](const auto& _entry, std::int64_t _revision)
--- a/src/store_p.h
+++ b/src/store_p.h
@@ -144,8 +144,6 @@
 	void lease_revoke(std::int64_t _id);
 	/// Removes leases that have lapsed, and their keys.
 	void tick(steady_time _now);
-	/// Lets every lease lapse.
-	void lapse_all();
 	/// @returns Revision of the newest change.
 	std::int64_t revision() const
 	{
@@ -153,11 +151,6 @@
 	}
 	/// @returns Changes from a revision on.
 	std::vector<watch_batch> changes(const std::string& _prefix, std::int64_t _from) const;
-	/// Called after each change.
-	void on_change(std::function<void()> _tell)
-	{
-		m_tell = std::move(_tell);
-	}
 
 private:
 	struct lease
@@ -172,7 +165,6 @@
 	std::vector<std::pair<std::int64_t, std::vector<store_write>>> m_log;
 	std::int64_t m_revision = 1;
 	std::int64_t m_next_lease = 1000;
-	std::function<void()> m_tell;
 };
 
 /// The platform over the etcd v3 JSON gateway.
