--- a/src/gate.cpp
+++ b/src/gate.cpp
@@ -10,18 +10,26 @@
 {
 namespace
 {
-/// Additive increase for each answer, multiplicative decrease for each shed request.
-constexpr double k_pace_increase = 0.25;
-constexpr double k_pace_decrease = 0.5;
-/// Sheds within this time count once.
+/// AIMD of the concurrency limit: slots added for each answer. Larger fills a backend server sooner after it
+/// shed, and makes it shed again sooner. Not measured.
+constexpr double k_limit_increase = 0.25;
+/// AIMD of the concurrency limit: factor for a shed request. Smaller relieves an overloaded backend server
+/// more, and leaves more of its slots unused. Not measured.
+constexpr double k_limit_decrease = 0.5;
+/// Shed requests within this time lower the limit once: they were sent under the same limit. Longer reacts
+/// to a persistent overload later. Not measured.
 constexpr std::chrono::milliseconds k_shed_once{50};
-/// Weight of the newest latency.
+/// Weight of the newest exchange in the moving average of latency, 0 to 1. Larger follows changes sooner and
+/// lets single slow exchanges steer. Not measured.
 constexpr double k_latency_weight = 0.1;
-/// Age at which a load report says nothing any more.
+/// A load report's weight fades linearly to nothing over this time. Longer trusts stale reports. Not
+/// measured.
 constexpr std::chrono::seconds k_report_life{5};
-/// Slots that a cold backend server gets at first.
+/// Slots of a cold backend server at the start of its slow start. More warms it sooner and risks slow answers
+/// while its caches are empty. Not measured.
 constexpr int k_cold_slots = 1;
-/// Latency that is assumed before the first answer, microseconds.
+/// Latency in microseconds that sizes the queue before the first answer. Larger makes the first queue
+/// shorter. Not measured; introduced with the queue that is sized by time (commit 4588dde).
 constexpr double k_latency_first = 100000.0;
 } // namespace
 
@@ -45,8 +53,8 @@
 		state = m_by_name.end() == it ? std::make_shared<backend_state>() : it->second;
 		if (m_by_name.end() == it || state->grant.slots != grant.slots)
 		{
-			state->pace = grant.slots;
-			state->warm_limit = grant.slots;
+			state->concurrency_limit = grant.slots;
+			state->slow_start_limit = grant.slots;
 		}
 		state->grant = grant;
 		m_pools[grant.service].backends.push_back(state);
@@ -57,6 +65,7 @@
 		{
 			state->grant.owned = false;
 		}
+		// Its tickets are still out; the count goes on until the last one is given back.
 		if (0 == known.count(name) && 0 < state->running)
 		{
 			known[name] = state;
@@ -75,8 +84,8 @@
 	{
 		return 0;
 	}
-	const int paced = std::max(1, static_cast<int>(std::floor(_backend.pace)));
-	return std::min({_backend.grant.slots, paced, _backend.warm_limit});
+	const int limit = std::max(1, static_cast<int>(std::floor(_backend.concurrency_limit)));
+	return std::min({_backend.grant.slots, limit, _backend.slow_start_limit});
 }
 
 service_headroom gate::headroom_of(const pool& _pool, steady_time _now) const
@@ -87,7 +96,7 @@
 		sum.usable += usable(*backend, _now);
 		sum.running += backend->running;
 		sum.slots += backend->grant.slots;
-		sum.cold += backend->warm_limit < backend->grant.slots ? 1 : 0;
+		sum.cold += backend->slow_start_limit < backend->grant.slots ? 1 : 0;
 	}
 	sum.usable = std::min(sum.usable, static_cast<int>(std::floor(sum.slots * m_max_share + 1e-9)));
 	sum.queued = static_cast<int>(_pool.queue.size());
@@ -148,7 +157,7 @@
 	_pool.queue.insert(place, _waiter);
 	if (_limit < static_cast<int>(_pool.queue.size()))
 	{
-		// The last of the lowest priority is told at once.
+		// The last of the lowest priority is refused at once, so that its caller can go elsewhere.
 		const waiter_ptr out = _pool.queue.back();
 		_pool.queue.pop_back();
 		out->given_up = true;
@@ -180,7 +189,7 @@
 		return reason::no_headroom;
 	}
 	const service_headroom room = headroom_of(pool, _now);
-	// As many may wait as will be served in time.
+	// As many may wait as can be served before this request gives up (Little's law).
 	const auto patience = static_cast<double>((_request.queue_until - _now).count());
 	const int limit = static_cast<int>(std::ceil(room.usable * patience / mean_latency(pool)));
 	auto place = std::make_shared<waiter>();
@@ -265,7 +274,7 @@
 	backend_state& backend = *_ticket.backend;
 	if (exchange_end::shed == _end && k_shed_once <= _now - backend.shed_at)
 	{
-		backend.pace = std::max(1.0, backend.pace * k_pace_decrease);
+		backend.concurrency_limit = std::max(1.0, backend.concurrency_limit * k_limit_decrease);
 		backend.shed_at = _now;
 	}
 	if (exchange_end::whole == _end)
@@ -273,8 +282,9 @@
 		const auto took = static_cast<double>((_now - _ticket.started).count());
 		backend.latency_us +=
 		    (0.0 == backend.latency_us ? 1.0 : k_latency_weight) * (took - backend.latency_us);
-		backend.pace = std::min<double>(backend.grant.slots, backend.pace + k_pace_increase);
-		backend.warm_limit = std::min(backend.grant.slots, backend.warm_limit + 1);
+		backend.concurrency_limit =
+		    std::min<double>(backend.grant.slots, backend.concurrency_limit + k_limit_increase);
+		backend.slow_start_limit = std::min(backend.grant.slots, backend.slow_start_limit + 1);
 		++backend.served;
 	}
 	if (exchange_end::unsure == _end)
@@ -298,13 +308,14 @@
 	const auto it = m_by_name.find(_backend);
 	if (m_by_name.end() == it)
 	{
+		// Given up while its load page was read.
 		return;
 	}
 	it->second->reported = std::clamp(_load, 0.0, 1.0);
 	it->second->reported_at = _now;
 	if (_cold && 0 == it->second->running)
 	{
-		it->second->warm_limit = std::min(it->second->warm_limit, k_cold_slots);
+		it->second->slow_start_limit = std::min(it->second->slow_start_limit, k_cold_slots);
 	}
 }
 
--- a/src/gate_p.h
+++ b/src/gate_p.h
@@ -2,7 +2,21 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Admission: exact counting of the slots of the backend servers that this entry VM owns, and a short queue.
+/// Admission control of one entry VM for the backend servers that it owns.
+///
+/// Decides: whether a request gets a slot now, waits in a short queue, or is refused. Running requests of a
+/// backend server never exceed the least of its slots, its concurrency limit (additive increase,
+/// multiplicative decrease: halved when it sheds) and its slow-start limit (while it is cold). Those of a
+/// service never exceed the region's max_share of all its slots here. The queue is as long as the slots in
+/// use can work off within the request's patience; a higher priority pushes out the last of the lowest.
+/// Owns: the count of running requests of each backend server, one queue for each service, the last load
+/// report and smoothed latency. All of it is in memory: after a crash the next owner counts every slot as
+/// taken until backend_grant::full_until.
+/// Relies on: control, which says what is owned (update, hold); chooser, which orders backend servers that
+/// have a free slot; carrier, which gives each ticket back exactly once.
+/// Units: time points and latencies in microseconds; loads and shares are parts from 0 to 1; counts are
+/// slots. Reasons and figures: docs/DESIGN.md (The way of a request, Choice), docs/MEASUREMENTS.md (Beside
+/// the plain ways).
 #pragma once
 
 #include "chooser_p.h"
@@ -20,29 +34,29 @@
 
 namespace larkrack
 {
-/// What the gate is told of a backend server.
+/// What the gate is told of a backend server that this entry VM holds.
 struct backend_grant
 {
 	std::string name;
 	std::string service;
 	endpoint address;
-	int slots = 0;
-	bool drain = false;
+	int slots = 0;            ///< Requests that it can run at once.
+	bool drain = false;       ///< It gets no new work; what runs there ends whole.
 	bool owned = false;       ///< Whether new work may be sent.
-	steady_time full_until{}; ///< Until then a former owner's work may still fill all slots.
+	steady_time full_until{}; ///< Until then requests of the former owner may still fill all slots.
 };
 
-/// Counters of one backend server. Guarded by the gate.
+/// Counters of one backend server. Guarded by the gate's mutex.
 struct backend_state
 {
 	backend_grant grant;
-	int running = 0;       ///< Slots that requests of this entry VM may occupy.
-	double pace = 0.0;     ///< Slots that shedding leaves, from 1 to all.
-	double reported = 0.0; ///< Share of slots in use by its own word.
+	int running = 0;                ///< Requests of this entry VM that run there, or may still run.
+	double concurrency_limit = 0.0; ///< Slots that shedding leaves, from 1 to all (AIMD).
+	double reported = 0.0;          ///< Part of its slots in use, from its own load report, 0 to 1.
 	steady_time reported_at{};
-	double latency_us = 0.0;
-	int warm_limit = 0; ///< Slots that may be used while it is cold.
-	steady_time shed_at{};
+	double latency_us = 0.0;  ///< Moving average of whole exchanges, microseconds; 0: none yet.
+	int slow_start_limit = 0; ///< Slots that may be used while it is cold.
+	steady_time shed_at{};    ///< Last shed request that lowered the concurrency limit.
 	std::uint64_t served = 0;
 };
 using backend_ptr = std::shared_ptr<backend_state>;
@@ -60,15 +74,15 @@
 	whole,      ///< Answered; the slot is free.
 	shed,       ///< Refused before running; the slot is free.
 	never_sent, ///< No byte was sent; the slot is free.
-	unsure,     ///< It may still run: the slot stays taken until gate::confirm or gate::expire.
+	unsure,     ///< It may still run: the slot stays taken until gate::confirm.
 };
 
-/// A request at the gate.
+/// A request that asks for a slot.
 struct admission
 {
 	std::string service;
 	int priority = 5;          ///< 0 (lowest) to 9.
-	steady_time queue_until{}; ///< Latest end of waiting.
+	steady_time queue_until{}; ///< Latest end of waiting in the queue.
 };
 
 /// Place in the queue. Exactly one of the outcomes happens, once.
@@ -96,8 +110,7 @@
 	}
 };
 
-/// Keeps: for each backend server, running requests never exceed its slots; for the region, its configured
-/// share. All functions may be called from every thread.
+/// All functions may be called from every thread.
 class gate : public service_base
 {
 public:
@@ -124,10 +137,10 @@
 	void confirm(const ticket& _ticket, steady_time _now);
 	/// Takes a backend server's load report.
 	void report(const std::string& _backend, double _load, bool _cold, steady_time _now);
-	/// Grants waiting requests what time has freed. Called at each tick.
+	/// Serves the queues with slots that became usable by time alone. Called every k_tick.
 	void tick(steady_time _now);
 
-	/// @returns How long a request that joins the queue now would wait, by the pace of the last answers.
+	/// @returns How long a request that joins the queue now would wait, estimated from the mean latency.
 	std::chrono::microseconds expected_wait(const std::string& _service, steady_time _now) const;
 	/// @returns Headroom of each service that has a backend server here.
 	std::map<std::string, service_headroom> headroom(steady_time _now) const;
@@ -137,7 +150,7 @@
 	int in_flight() const;
 	/// @returns Copies of all states.
 	std::vector<backend_state> states() const;
-	/// Holds up all new work, as after a pause of the process, until ownership is confirmed.
+	/// Stops or resumes all admissions, as after a pause of the process until ownership is confirmed.
 	void hold(bool _held);
 
 private:
--- a/src/key_table.cpp
+++ b/src/key_table.cpp
@@ -11,7 +11,7 @@
 	{
 		const auto it = m_entries.find(m_by_time.begin()->second);
 		m_by_time.erase(m_by_time.begin());
-		// A key in flight stays, however late it is.
+		// Only finished keys stand in m_by_time; one that runs again since then stays until it ends.
 		if (m_entries.end() != it && it->second.answer && it->second.forget_at <= _now)
 		{
 			m_entries.erase(it);
@@ -51,6 +51,7 @@
 		const auto it = m_entries.find(_key);
 		if (m_entries.end() == it)
 		{
+			// Finished before with not_run, which forgot the key and told those who waited.
 			return;
 		}
 		waiting = std::move(it->second.waiting);
--- a/src/key_table_p.h
+++ b/src/key_table_p.h
@@ -2,8 +2,15 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Memory of one entry VM for non-repeatable requests: each key runs at most once in this life of the
-/// process.
+/// Idempotency keys that one entry VM remembers: each key runs at most once in this life of the process.
+///
+/// Decides: whether a try with a key runs, waits for the try in flight, gets the kept answer, or is refused
+/// because the table is full. A key is never evicted to make room: it could then run twice.
+/// Owns: the answers of finished keys until their grant expires, and the list of tries that wait. It is in
+/// memory only and lost with the process; a later life answers `unknown` (carrier checks the grant's life).
+/// Relies on: carrier for exactly one finish after each verdict `run`, and for refusing expired grants.
+/// Units: steady time in microseconds; limit in keys (k_keys), kept bodies in bytes (k_kept_body).
+/// Reasons: docs/DESIGN.md (At most once, without a store).
 #pragma once
 
 #include "larkrack/config.h"
@@ -40,7 +47,7 @@
 	enum class what
 	{
 		run,  ///< The first try: run it, then call finish.
-		wait, ///< Another try is in flight: the callback will be called.
+		wait, ///< Another try is in flight: the callback will be called with its answer.
 		kept, ///< The answer is known.
 		full, ///< No room for another key: nothing was run.
 	};
@@ -60,11 +67,11 @@
 		return "key_table";
 	}
 	/// Asks whether a try may run.
-	/// @param[in] _forget_at Time from which the key is refused anyway.
+	/// @param[in] _forget_at Time from which its grant has expired, so that the key is refused anyway.
 	/// @param[in] _on_finish Called with the answer when the verdict is wait.
 	key_verdict begin(const std::string& _key, steady_time _forget_at,
 	    std::function<void(const kept_ptr&)> _on_finish, steady_time _now);
-	/// Ends the first try. An answer of not_run forgets the key: it may be tried again.
+	/// Ends the first try and calls those who wait. An answer of not_run forgets the key: it may run later.
 	void finish(const std::string& _key, const kept_answer& _answer);
 	/// @returns Number of keys that are remembered.
 	std::size_t size() const;
@@ -81,6 +88,6 @@
 	mutable std::mutex m_mutex;
 	std::size_t m_limit;
 	std::unordered_map<std::string, entry> m_entries;
-	std::multimap<steady_time, std::string> m_by_time;
+	std::multimap<steady_time, std::string> m_by_time; ///< Finished keys by the time they are forgotten.
 };
 } // namespace larkrack
--- a/src/lookup.cpp
+++ b/src/lookup.cpp
@@ -15,9 +15,11 @@
 {
 namespace
 {
-/// Entry VMs in one answer.
+/// Entry VMs in one answer. More helps a caller when several are away, and makes answers longer. Not
+/// measured.
 constexpr std::size_t k_choices = 4;
-constexpr double k_weight_digits = 1000.0;
+/// Weights in an answer are rounded to multiples of 1 / this, to keep answers short. Not measured.
+constexpr double k_weight_steps = 1000.0;
 
 bool may_be_named(const traffic_view& _view, std::size_t _vm)
 {
@@ -83,8 +85,7 @@
 	near.insert(near.end(), far.begin(), far.end());
 	for (lookup_choice& choice : near)
 	{
-		choice.weight =
-		    sum <= 0.0 ? 0.0 : std::round(choice.weight / sum * k_weight_digits) / k_weight_digits;
+		choice.weight = sum <= 0.0 ? 0.0 : std::round(choice.weight / sum * k_weight_steps) / k_weight_steps;
 	}
 	return near;
 }
--- a/src/lookup_p.h
+++ b/src/lookup_p.h
@@ -2,7 +2,17 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Answers to "where shall I go": ordered entry VMs, a time to live and a grant.
+/// Look-ups: which entry VMs a caller should try, in which order, with a time to live and a grant.
+///
+/// Decides: the region that serves a caller (region_for: home region and a hash of its address, through the
+/// mix), the order of entry VMs (order_entry_vms: those of the region weighted by usable slots, then others),
+/// and which entry VM remembers a bare key (key_owner, rendezvous hashing).
+/// Owns: one thread's cache of prepared answers, rebuilt for each snapshot, because building the JSON for
+/// each look-up was measurably slower (commit fdf875d).
+/// Relies on: traffic_view for one consistent snapshot; grant for signing. Nothing here waits or fails: an
+/// old snapshot gives an old answer, and the entry VM that is asked decides again. Units: weights and draws
+/// are parts from 0 to 1; k_lookup_ttl in milliseconds. Figures: docs/MEASUREMENTS.md (What an entry VM adds;
+/// Beside the plain ways: relayed).
 #pragma once
 
 #include "grant_p.h"
@@ -15,25 +25,27 @@
 
 namespace larkrack
 {
-/// One place that a caller may go to.
+/// An entry VM that a caller may go to.
 struct lookup_choice
 {
 	entry_vm_handle vm;
-	double weight = 0.0; ///< Part of callers that are sent there first.
+	double weight = 0.0; ///< Part of the region's callers that are sent there first, 0 to 1.
 };
 
-/// @returns Number in [0, 1) that is the same for the same caller and service.
+/// @returns Number in [0, 1) by a hash of caller and service; the same on all nodes, so few callers change
+/// region when shares move.
 double point_of(const boost::asio::ip::address& _caller, const std::string& _service);
 /// @returns Region that serves the caller now; invalid when the cap holds it back.
 region_handle region_for(
     const traffic_view& _view, service_handle _service, const boost::asio::ip::address& _caller);
 /// Orders the entry VMs for a caller: those of its region by weight, then others.
-/// @param[in] _draw Number in [0, 1) that picks the first.
+/// @param[in] _draw Number in [0, 1) that picks the first by weight.
 std::vector<lookup_choice> order_entry_vms(
     const traffic_view& _view, service_handle _service, region_handle _region, double _draw);
-/// @returns Entry VM that remembers a key that is not built on a grant; the same on all nodes.
+/// @returns Entry VM that remembers a bare key; the same on all nodes with the same configuration.
 entry_vm_handle key_owner(const policy& _policy, const std::string& _key);
-/// Answers look-ups of one thread. All but the grant is put together once for each snapshot.
+
+/// Answers look-ups of one thread. All but the grant is built once for each snapshot.
 class lookup_cache
 {
 public:
--- a/src/lookup_table.cpp
+++ b/src/lookup_table.cpp
@@ -9,6 +9,8 @@
 {
 namespace
 {
+/// Bits of an IPv4 address that the index covers. More shortens the binary search and costs 4 << bits bytes
+/// (256 KB at 16). Other values were not measured.
 constexpr std::size_t k_index_bits = 16;
 constexpr std::size_t k_index_size = (std::size_t{1} << k_index_bits) + 1;
 
--- a/src/lookup_table_p.h
+++ b/src/lookup_table_p.h
@@ -2,7 +2,14 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Longest-prefix look-up from client addresses to sites: flat, immutable, sorted ranges.
+/// Longest-prefix match from client addresses to sites.
+///
+/// Decides: the site of a caller, from which policy takes its home region.
+/// Owns: flat, immutable, sorted ranges; IPv4 has an index by the upper 16 bits. Built anew when a block
+/// changed, and shared by all threads.
+/// Relies on: nothing; policy checks that blocks name declared sites.
+/// Units: prefix lengths in bits. Bytes a block and nanoseconds a look-up for 10,000 to 1.1 million blocks:
+/// docs/CAPACITY.md (Measured slopes).
 #pragma once
 
 #include "larkrack/ids.h"
--- a/src/membership.cpp
+++ b/src/membership.cpp
@@ -11,20 +11,35 @@
 {
 namespace
 {
-/// Entry VMs for each shortest interval: above, the interval grows with the fleet, up to a limit.
-constexpr std::size_t k_fleet_of_interval = 12;
+// The figures below trade bytes and processor time of a node against the time until news have reached all.
+// They were set together by the slopes of commit 642dc28; what they give for 3 to 460 nodes stands in
+// docs/CAPACITY.md. None was varied by itself.
+
+/// Fleet size in entry VMs up to which the interval stays the shortest and all news fit into one heartbeat;
+/// above, the interval grows by one k_heartbeat_interval for each further such number.
+constexpr std::size_t k_small_fleet = 12;
+/// Longest interval as a multiple of k_heartbeat_interval. Higher saves bytes in large fleets and finds a
+/// silent entry VM later.
 constexpr std::size_t k_interval_factor_most = 4;
-/// Entries of others that one heartbeat passes on, at most: of the own failure domain, and of others.
+/// Entries of the own failure domain that one heartbeat within it passes on, at most.
 constexpr std::size_t k_news_near = 6;
+/// Entries of other failure domains that one heartbeat within the own one passes on, at most, in large
+/// fleets.
 constexpr std::size_t k_news_far = 4;
-/// Entries that a delegate tells another failure domain.
+/// Entries of its own failure domain that a delegate's heartbeat to another one holds, at most.
 constexpr std::size_t k_news_delegate = 16;
-/// Heartbeats to other failure domains are rarer by this factor, in small fleets and in large ones.
+/// A delegate sends to other failure domains once in this many rounds, in fleets up to k_small_fleet.
 constexpr std::size_t k_far_rounds_small = 2;
+/// The same in larger fleets.
 constexpr std::size_t k_far_rounds_large = 4;
-/// Silence in intervals, besides three times what the news of all members take to come round.
+/// Silence in intervals after which a member of the own failure domain is suspected. Fewer finds a dead one
+/// sooner and suspects one whose control thread was busy (while it builds the client table:
+/// docs/CAPACITY.md).
 constexpr std::size_t k_suspect_intervals = 4;
+/// The same for members of other failure domains, whose news come through delegates. Not measured.
 constexpr std::size_t k_suspect_intervals_far = 12;
+/// In large fleets news arrive in turn; this many turns of silence are added to the figures above. Not
+/// measured.
 constexpr std::size_t k_suspect_rounds = 3;
 
 bool is_newer(const member_entry& _a, const member_entry& _b)
@@ -69,7 +84,7 @@
 std::chrono::microseconds membership::interval() const
 {
 	const std::size_t factor =
-	    std::clamp<std::size_t>(m_domain_of.size() / k_fleet_of_interval, 1, k_interval_factor_most);
+	    std::clamp<std::size_t>(m_domain_of.size() / k_small_fleet, 1, k_interval_factor_most);
 	return k_heartbeat_interval * static_cast<int>(factor);
 }
 
@@ -83,8 +98,8 @@
 	++m_self.sequence;
 	++m_round;
 	std::vector<heartbeat> due;
-	// All targets of a round get the same news; drawn for each target, some news would never reach some of
-	// them.
+	// All targets of a round get the same entries. Drawn for each target, some entries would never reach some
+	// targets (docs/MEASUREMENTS.md, What was found by failing).
 	const std::vector<member_entry> near_news = news(m_domain, _now);
 	for (const std::string& to : targets_near(_now))
 	{
@@ -102,7 +117,7 @@
 
 std::size_t membership::far_rounds() const
 {
-	return m_domain_of.size() <= k_fleet_of_interval ? k_far_rounds_small : k_far_rounds_large;
+	return m_domain_of.size() <= k_small_fleet ? k_far_rounds_small : k_far_rounds_large;
 }
 
 std::vector<std::string> membership::targets_near(steady_time)
@@ -163,14 +178,14 @@
 		(one.entry.domain == m_domain ? near : far).push_back(&one);
 	}
 	std::vector<member_entry> entries = {m_self};
-	// To other failure domains a delegate speaks for its own; within its own it passes on all.
+	// To another failure domain a delegate sends entries of its own one only; within its own, entries of all.
 	const bool is_near = _for_domain == m_domain;
 	append_news(near, is_near ? k_news_near : k_news_delegate, _now, entries);
 	if (is_near)
 	{
 		// A small fleet fits into one message.
-		const bool is_small = m_domain_of.size() <= k_fleet_of_interval;
-		append_news(far, is_small ? k_fleet_of_interval : k_news_far, _now, entries);
+		const bool is_small = m_domain_of.size() <= k_small_fleet;
+		append_news(far, is_small ? k_small_fleet : k_news_far, _now, entries);
 	}
 	return entries;
 }
@@ -232,7 +247,7 @@
 	const std::size_t near_size = m_domain_size.end() == own ? 1 : own->second;
 	const std::size_t far_size = m_domain_of.size() - std::min(m_domain_of.size(), near_size);
 	const bool near = it->second.entry.domain == m_domain;
-	// In small fleets everybody hears everybody directly; in large ones the news come round.
+	// In small fleets every heartbeat reaches every member; in large ones a member's turn comes round.
 	const std::size_t around = near ? near_size / (k_heartbeat_fanout * 2) : far_size / k_news_far;
 	const std::size_t patience =
 	    (near ? k_suspect_intervals : k_suspect_intervals_far) + k_suspect_rounds * around;
--- a/src/mix.cpp
+++ b/src/mix.cpp
@@ -11,25 +11,29 @@
 {
 namespace
 {
+/// Shares below this are taken as zero, so that nothing is divided by a rounding error. Not measured.
 constexpr double k_nothing = 1e-12;
+/// Difference of two shares that is rounding only. It must exceed the error of a sum of shares (a sum of
+/// 1 - 1e-16 once kept a shift from its goal: commit 74dc419) and be far below one step.
 constexpr double k_rounding = 1e-9;
-/// Samples closer than this are merged; it bounds the memory of a limiter.
+/// A limiter keeps no samples that are closer than this, and moves no more often. Shorter costs memory
+/// (window / gap samples), longer makes steps coarser. Not measured; equal to k_tick.
 constexpr std::chrono::milliseconds k_sample_gap{50};
 
-/// Leaves with open regions what no other region could gain yet.
-void give_back(
+/// Lets open regions keep what no other region may gain yet, so that only a closed region's loss is refused.
+void keep_ungained(
     const std::vector<double>& _current, const std::vector<bool>& _open, std::vector<double>& _next)
 {
-	double left = 1.0 - std::accumulate(_next.begin(), _next.end(), 0.0);
-	for (std::size_t at = 0; at < _next.size() && k_nothing < left; ++at)
+	double unassigned = 1.0 - std::accumulate(_next.begin(), _next.end(), 0.0);
+	for (std::size_t at = 0; at < _next.size() && k_nothing < unassigned; ++at)
 	{
 		if (!_open[at] || _current[at] <= _next[at])
 		{
 			continue;
 		}
-		const double kept = std::min(left, _current[at] - _next[at]);
+		const double kept = std::min(unassigned, _current[at] - _next[at]);
 		_next[at] += kept;
-		left -= kept;
+		unassigned -= kept;
 	}
 }
 } // namespace
@@ -177,15 +181,15 @@
 		m_samples.pop_front();
 	}
 	const double elapsed = static_cast<double>((_now - m_samples.back().at).count());
-	const double pace = m_cap * std::min(1.0, elapsed / static_cast<double>(m_window.count()));
+	const double gain = m_cap * std::min(1.0, elapsed / static_cast<double>(m_window.count()));
 	std::vector<double> next = m_current;
 	for (std::size_t at = 0; at < next.size(); ++at)
 	{
-		// An even pace, so that caches warm as the shift goes and no window sees a jump.
-		const double limit = std::min(lowest(at) + m_cap, m_current[at] + pace);
+		// An even rate, so that caches warm as the shift goes and no window sees a jump.
+		const double limit = std::min(lowest(at) + m_cap, m_current[at] + gain);
 		next[at] = std::min(_target[at], limit);
 	}
-	give_back(m_current, _open, next);
+	keep_ungained(m_current, _open, next);
 	const bool moved = next != m_current;
 	if (moved && _now - m_samples.back().at < k_sample_gap)
 	{
--- a/src/mix_p.h
+++ b/src/mix_p.h
@@ -2,7 +2,15 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// How a service's traffic is divided among regions: the plan, and the limit on how fast it may move.
+/// Division of a service's traffic among regions: the plan, and a rate limit on what a region may gain.
+///
+/// Decides: which region serves a caller (mix::choose), with as many callers in their home region as the
+/// shares allow (plan_mix), and how far shares may move now (mix_limiter).
+/// Owns: nothing but the limiter's own history of shares, one window long. It is lost with the process;
+/// control starts a new one from the recorded step and from what older nodes report. Relies on: policy for
+/// region handles; control_shifts for targets and for which regions are open. Units: shares, demands and
+/// parts from 0 to 1; cap is a share for each window; times in microseconds. Reasons and figures:
+/// docs/DESIGN.md (Shifts), docs/MEASUREMENTS.md (rows shift and crash_region).
 #pragma once
 
 #include "clock_p.h"
@@ -29,7 +37,8 @@
 /// @param[in] _shares Share that each region shall serve.
 mix plan_mix(const std::vector<double>& _demand, const std::vector<double>& _shares);
 
-/// Moves the share of drained or dead regions to the others, in proportion to theirs.
+/// Moves the share of drained or dead regions to the others, in proportion to theirs. When no region or every
+/// region is open, the shares stay as they are.
 /// @param[in] _open Whether each region may serve.
 std::vector<double> without_closed(const std::vector<double>& _shares, const std::vector<bool>& _open);
 
@@ -53,7 +62,8 @@
 	void reset(const std::vector<double>& _shares, steady_time _now);
 	/// Changes cap and window; the memory of what was gained stays.
 	void configure(double _cap, std::chrono::microseconds _window);
-	/// Moves towards a target as far as the cap allows.
+	/// Moves towards a target as far as the cap allows: a region gains at an even rate of cap for each
+	/// window, and never more than cap above its lowest share within the window.
 	/// @param[in] _open Whether each region may serve. An open one loses only what others gain; a closed one
 	/// loses all at once.
 	/// @returns Shares in force; their sum is 1 or less.
--- a/src/shift.cpp
+++ b/src/shift.cpp
@@ -9,12 +9,17 @@
 {
 namespace
 {
-/// Part of the usable slots that must be free where traffic is to go.
-constexpr double k_room_wanted = 0.08;
-/// Part of the window that is left for steps to reach all nodes.
-constexpr double k_margin = 0.1;
-constexpr std::chrono::milliseconds k_margin_least{200};
-constexpr double k_moved = 1e-9;
+/// Part of the usable slots that must be free in a region before it gains more. More keeps refusals down
+/// while traffic moves, less lets a shift go on in a fuller fleet. Not measured.
+constexpr double k_free_part_wanted = 0.08;
+/// Part of the declared window that is added for limiters, because a step reaches nodes at different times.
+/// Larger makes a shift slower by this part, smaller risks a gain above the cap. Not measured by itself; with
+/// it, shifts stay within the cap (docs/MEASUREMENTS.md, row shift).
+constexpr double k_window_margin = 0.1;
+/// Least margin: short windows would leave less than steps need to spread. Not measured.
+constexpr std::chrono::milliseconds k_window_margin_least{200};
+/// A gain below this is rounding, and needs no room. Not measured.
+constexpr double k_gain_rounding = 1e-9;
 } // namespace
 
 std::string waits_for(const std::vector<double>& _from, const std::vector<double>& _goal,
@@ -22,7 +27,7 @@
 {
 	for (std::size_t at = 0; at < _goal.size(); ++at)
 	{
-		if (_goal[at] <= _from[at] + k_moved)
+		if (_goal[at] <= _from[at] + k_gain_rounding)
 		{
 			continue;
 		}
@@ -31,7 +36,7 @@
 		{
 			return "cold";
 		}
-		if (!room.open || room.usable - room.running < std::ceil(room.usable * k_room_wanted))
+		if (!room.open || room.usable - room.running < std::ceil(room.usable * k_free_part_wanted))
 		{
 			return "headroom";
 		}
@@ -52,9 +57,9 @@
 
 std::chrono::microseconds limiter_window(const steering_spec& _steering)
 {
-	const auto margin =
-	    std::chrono::microseconds(std::llround(static_cast<double>(_steering.window.count()) * k_margin));
-	return _steering.window + std::max<std::chrono::microseconds>(margin, k_margin_least);
+	const auto margin = std::chrono::microseconds(
+	    std::llround(static_cast<double>(_steering.window.count()) * k_window_margin));
+	return _steering.window + std::max<std::chrono::microseconds>(margin, k_window_margin_least);
 }
 
 std::string to_text(const step_record& _record)
@@ -69,10 +74,14 @@
 {
 	step_record record;
 	const nlohmann::json document = nlohmann::json::parse(_text, nullptr, false);
+	// No record yet, or foreign text. Silent, because it is read at every tick: the driver then records the goal
+	// as the step in force (control::next_step), and each node's mix_limiter still keeps to the cap.
 	if (!document.is_object())
 	{
 		return record;
 	}
+	// Records of earlier versions may lack fields, which then keep the defaults of step_record. A field of
+	// another type throws: only larkrackd writes these records.
 	record.sequence = document.value("seq", std::uint64_t{0});
 	record.shares = document.value("shares", record.shares);
 	record.goal = document.value("goal", record.goal);
