--- a/include/larkrack/ids.h
+++ b/include/larkrack/ids.h
@@ -2,7 +2,10 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Small handles for the things that the configuration names.
+/// Strong types for ids: handles into the tables of one policy, configuration revisions, lives of a process.
+///
+/// For: a handle of one table can not be taken for one of another, nor a revision for a life. Handles are
+/// valid for the policy that gave them only.
 #pragma once
 
 #include <cstdint>
--- a/include/larkrack/outcome.h
+++ b/include/larkrack/outcome.h
@@ -3,6 +3,9 @@
 
 /// @file
 /// Outcomes of a caller's request, reasons for a refusal, and the names of HTTP headers that carry them.
+///
+/// Also the project's way of errors: a result holds a value or an error, and exceptions mean broken
+/// invariants. docs/CALLERS.md tells callers what outcomes and headers mean; they are part of the wire.
 #pragma once
 
 #include <string>
--- a/src/config_book.cpp
+++ b/src/config_book.cpp
@@ -7,7 +7,8 @@
 {
 namespace
 {
-/// Changes that are kept to be passed on.
+/// Changes that are kept, so that a peer which is behind gets a difference and not everything. More costs
+/// memory (keys only) and spares whole transfers to peers that were cut off for longer. Not measured.
 constexpr std::size_t k_changes = 1000;
 } // namespace
 
@@ -61,7 +62,7 @@
 		return take_status::not_newer;
 	}
 	const bool whole = 0 == _message.base.value;
-	// Changes from an older base say the whole difference, so they fit any revision between.
+	// Changes since an older base hold the whole difference, so they fit any revision in between.
 	if (!whole && m_state.rev < _message.base)
 	{
 		return take_status::gap;
--- a/src/config_book_p.h
+++ b/src/config_book_p.h
@@ -2,7 +2,14 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// The configuration in force at this node, and its recent changes. Takes only higher revisions.
+/// This node's copy of the agreed configuration.
+///
+/// Decides: whether an offered configuration replaces the one in force. It must have a higher revision, fit
+/// the revision here when it holds changes only, and be valid as a whole. Owns: the configuration in force,
+/// its policy, and the keys of its last changes, from which peers that are behind are sent a difference. In
+/// memory only: a node that starts anew gets it from the store or a peer. Relies on: policy for validity;
+/// platform_sync for reading the store and asking peers. Units: revisions only grow; bytes and seconds for a
+/// change and a whole transfer: docs/CAPACITY.md.
 #pragma once
 
 #include "message_p.h"
@@ -21,7 +28,7 @@
 	invalid,   ///< It breaks the rules; nothing of it was taken.
 };
 
-/// One thread.
+/// Not thread-safe: control thread only.
 class config_book
 {
 public:
@@ -49,9 +56,9 @@
 private:
 	struct change
 	{
-		revision base;
-		revision rev;
-		std::vector<std::string> keys;
+		revision base;                 ///< Revision before.
+		revision rev;                  ///< Revision after.
+		std::vector<std::string> keys; ///< Resources that were set or removed.
 	};
 	void remember(const config_state& _next);
 
--- a/src/control.cpp
+++ b/src/control.cpp
@@ -446,7 +446,7 @@
 	}
 	for (const backend_state& backend : m_gate->states())
 	{
-		if (backend.grant.owned && k_suspect_after * 4 < now - backend.reported_at)
+		if (backend.grant.owned && k_load_report_stale < now - backend.reported_at)
 		{
 			modes.push_back("stale_measurements:" + backend.grant.name);
 		}
--- a/src/grant.cpp
+++ b/src/grant.cpp
@@ -17,8 +17,11 @@
 {
 namespace
 {
+/// Version of the form; a key with this prefix claims to be built on a grant.
 constexpr const char* k_prefix = "g1:";
+/// Fields between colons, the signature included.
 constexpr std::size_t k_fields = 8;
+/// Bytes of the HMAC that are kept. Fewer makes headers shorter and forging easier.
 constexpr std::size_t k_signature_bytes = 16;
 
 std::string body_of(const grant& _grant)
@@ -67,6 +70,7 @@
 		return bad;
 	}
 	grant read;
+	// Numbers that do not parse become 0; the signature over the text made from them then does not match.
 	read.service = fields[1];
 	read.entry_vm = fields[2];
 	read.life.value = std::strtoull(fields[3].c_str(), nullptr, 10);
--- a/src/grant_p.h
+++ b/src/grant_p.h
@@ -2,7 +2,12 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Signed words between callers and entry VMs: grants of a look-up, and marks of a relayed request.
+/// Grants of a look-up, and signatures (HMAC-SHA256, cut to 128 bits) between entry VMs.
+///
+/// For: a key that is built on a grant names the entry VM and the life of its process that may run it, so
+/// that it runs at most once without a store (docs/DESIGN.md). The same secret signs relayed requests and
+/// handshakes. Owns: the shared secret from the settings, in memory. Relies on: carrier for checking expiry
+/// and life; clocks within k_clock_skew of each other.
 #pragma once
 
 #include "clock_p.h"
@@ -18,8 +23,8 @@
 struct grant
 {
 	std::string service;
-	std::string entry_vm;
-	incarnation life;
+	std::string entry_vm; ///< Name.
+	incarnation life;     ///< Life of its process.
 	wall_time issued{};
 	wall_time expires{};
 	std::uint64_t nonce = 0; ///< Makes two grants of the same moment differ.
--- a/src/http_client.cpp
+++ b/src/http_client.cpp
@@ -9,7 +9,11 @@
 {
 namespace
 {
+/// Idle connections that are kept for each server. More saves connecting after a peak and costs descriptors.
+/// Not measured.
 constexpr std::size_t k_idle_per_endpoint = 64;
+/// Longest idle time of a connection for control traffic. Longer meets more connections that the server is
+/// about to close. Not measured.
 constexpr std::chrono::seconds k_control_idle{4};
 
 int hex_value(char _digit)
--- a/src/http_server.cpp
+++ b/src/http_server.cpp
@@ -9,6 +9,7 @@
 {
 namespace
 {
+/// Connections that wait to be accepted. The kernel's own limit may be lower. Not measured.
 constexpr int k_backlog = 1024;
 using reuse_port = asio::detail::socket_option::boolean<SOL_SOCKET, SO_REUSEPORT>;
 
--- a/src/log_p.h
+++ b/src/log_p.h
@@ -2,7 +2,13 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Writes numbered events, one JSON object a line, through easylogging++.
+/// Log of larkrackd and its tools: numbered events, one JSON object a line, through easylogging++.
+///
+/// Owns: the node's name and the place of the log, set once by log_init.
+/// Relies on: events_p.h for numbers, names and severities. A write may wait for the file or the reader of
+/// standard output. edge_log of larkrack-edge never waits: its one thread carries all traffic, so it drops
+/// lines and counts them, and it builds lines without a JSON document or a library to save memory
+/// (docs/PLATFORM.md).
 #pragma once
 
 #include "events_p.h"
@@ -13,7 +19,7 @@
 {
 /// Sets the log's place.
 /// @param[in] _node Name that stands in each line.
-/// @param[in] _file File to append to; empty: standard error.
+/// @param[in] _file File to append to; empty: standard output.
 void log_init(const std::string& _node, const std::string& _file);
 /// Writes one event.
 /// @param[in] _fields Object with further fields.
--- a/src/membership_p.h
+++ b/src/membership_p.h
@@ -9,9 +9,9 @@
 /// entry VM is gone: only its farewell or the store's list of VMs says so (docs/DESIGN.md, Membership).
 /// Owns: the last entry heard of each configured entry VM; after a restart it is heard again within some
 /// intervals. An entry with a higher (life, sequence) replaces an older one, whoever passes it on.
-/// Relies on: control, which calls tick every k_tick and sends what it returns; peers for the transport,
-/// which may lose messages; the configuration for the list of members. Units: times in microseconds;
-/// intervals grow with the number of configured entry VMs. Cost and spread for 3 to 460 nodes:
+/// Relies on: control, which calls tick several times in an interval and sends what it returns; peers for the
+/// transport, which may lose messages; the configuration for the list of members. Units: times in
+/// microseconds; intervals grow with the number of configured entry VMs. Cost and spread for 3 to 460 nodes:
 /// docs/CAPACITY.md (Measured slopes).
 #pragma once
 
--- a/src/message_p.h
+++ b/src/message_p.h
@@ -2,7 +2,12 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Control messages between entry VMs, as CBOR.
+/// Control messages between entry VMs, and their encoding as CBOR.
+///
+/// For: gossip of members, and anti-entropy of configuration and records (a node that hears of a higher
+/// revision or another digest asks for what it lacks). Owns: no state. Field names on the wire are short
+/// because heartbeats are most of the bytes. Relies on: peers for transport. Both sides speak the same
+/// protocol version (checked at the handshake).
 #pragma once
 
 #include "membership_p.h"
@@ -15,7 +20,7 @@
 
 namespace larkrack
 {
-/// A small record of the platform (ownership, steps of shifts), as entry VMs pass it on.
+/// A small record of the store (ownership, steps of shifts), as entry VMs pass it on.
 struct record
 {
 	std::string key;
@@ -64,6 +69,6 @@
 
 /// @returns CBOR.
 std::vector<std::uint8_t> encode(const envelope& _envelope);
-/// @returns The message, or an error when it is not one of ours.
+/// @returns The message, or error "bad_message".
 result<envelope> decode(const std::string& _bytes);
 } // namespace larkrack
--- a/src/metrics_p.h
+++ b/src/metrics_p.h
@@ -2,7 +2,11 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Metrics by prometheus-cpp, with a small, fixed set of labels.
+/// Metrics of larkrackd by prometheus-cpp, with a small, fixed set of labels.
+///
+/// Owns: the registry and all counters since the start of the process.
+/// Relies on: operators, which serves text() and sets gauges at each scrape. Label values are services,
+/// outcomes, reasons and uses of the store, so their number is bounded.
 #pragma once
 
 #include "kernel_p.h"
@@ -63,8 +67,8 @@
 
 private:
 	std::shared_ptr<prometheus::Registry> m_registry;
-	static constexpr std::size_t k_outcomes = 3;
-	static constexpr std::size_t k_reasons = 16;
+	static constexpr std::size_t k_outcomes = 3; ///< Values of enum outcome.
+	static constexpr std::size_t k_reasons = 16; ///< Values of enum reason, with room for one more.
 	using outcome_counters = std::array<std::atomic<prometheus::Counter*>, k_outcomes * k_reasons>;
 
 	prometheus::Family<prometheus::Counter>* m_outcomes = nullptr;
--- a/src/node.cpp
+++ b/src/node.cpp
@@ -16,11 +16,16 @@
 {
 namespace
 {
-/// Longest time of a planned stop.
+/// Longest time of a planned stop; what still runs then is cut off. Longer lets slow requests end and holds a
+/// replacement of the VM up. Not measured.
 constexpr std::chrono::seconds k_stop_limit{120};
+/// Time between two looks whether all has ended. Not measured.
 constexpr std::chrono::milliseconds k_stop_poll{20};
-/// Callers' copies of look-ups must have gone by, and a little more for those on their way.
+/// Accepting goes on this long: callers' copies of look-ups must have expired, with a margin for those on
+/// their way. Not measured by itself; with it a planned stop leaves no unknown outcome (docs/MEASUREMENTS.md,
+/// stop_entry).
 constexpr std::chrono::milliseconds k_stop_grace = k_lookup_ttl + std::chrono::milliseconds(500);
+/// Time for the farewell to leave the sockets. Not measured.
 constexpr std::chrono::milliseconds k_farewell_time{100};
 } // namespace
 
--- a/src/peers_p.h
+++ b/src/peers_p.h
@@ -3,6 +3,11 @@
 
 /// @file
 /// Transport of control messages between entry VMs.
+///
+/// Decides: who may connect (signed handshake, same protocol version) and when a peer is too slow to be kept.
+/// Owns: one outgoing connection to each peer that was sent to, and counters of its traffic. All of it is
+/// lost with the process and built again by the next message. Relies on: membership and anti-entropy to
+/// repeat news that were lost; it never sends a message twice.
 #pragma once
 
 #include "clock_p.h"
@@ -19,7 +24,7 @@
 
 namespace larkrack
 {
-/// Bytes and messages since the start.
+/// Messages, and their bytes without framing, since the start.
 struct peer_traffic
 {
 	std::uint64_t sent_messages = 0;
@@ -42,8 +47,9 @@
 	virtual void on_message(receiver _receiver) = 0;
 	/// Sends to a peer; drops the message when the peer is slow or away.
 	virtual void send(const std::string& _vm, const endpoint& _where, const envelope& _envelope) = 0;
-	/// Cuts links to peers by name. For tests.
+	/// Drops messages to and from peers of these names. For tests.
 	virtual void set_cut(std::set<std::string> _vms) = 0;
+	/// @returns Counters since the start.
 	virtual peer_traffic traffic() const = 0;
 };
 
--- a/src/peers_websocket.cpp
+++ b/src/peers_websocket.cpp
@@ -22,12 +22,18 @@
 constexpr const char* k_protocol = "1";
 constexpr const char* k_header_peer = "Larkrack-Peer";
 constexpr const char* k_header_sign = "Larkrack-Peer-Sign";
-/// Age of a signed handshake that is still taken.
+/// Age of a signed handshake that is still accepted, either way. Longer tolerates more clock skew and gives a
+/// recorded handshake more time to be replayed. Not measured.
 constexpr std::chrono::seconds k_handshake_age{30};
-/// Bytes that may wait for a slow peer.
+/// Bytes that may wait for a slow peer before it is dropped. It must hold a whole configuration
+/// (docs/CAPACITY.md); more costs memory for each slow peer. Not measured.
 constexpr std::size_t k_send_limit = 64ULL * 1024 * 1024;
+/// Bytes of one message that is accepted. Not measured.
 constexpr std::size_t k_message_limit = 256ULL * 1024 * 1024;
+/// Milliseconds for connecting and the handshake; the same as k_platform_deadline. Not measured.
 constexpr long k_connect_timeout_ms = 1500;
+/// Messages that wait for a connection to open; further ones are dropped, as heartbeats repeat their news.
+/// Not measured.
 constexpr std::size_t k_waiting_messages = 8;
 
 using server_type = ws::server<ws::config::asio>;
--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -12,8 +12,12 @@
 {
 namespace
 {
+/// Shares whose sum differs from 1 by less are taken: people write rounded decimals. Not measured.
 constexpr double k_sum_slack = 1e-6;
+/// Connections of a backend server that names none. Not measured.
 constexpr int k_default_connections = 330;
+/// Bytes of one resource's JSON; larger ones are to be divided into shards, as a change passes on whole
+/// resources. Not measured.
 constexpr std::size_t k_value_limit = 1000000;
 
 template <typename Spec>
@@ -70,6 +74,8 @@
 			{
 				return;
 			}
+			// Text that is no JSON becomes a value that fails check_resource, and so is reported as a
+			// mistake.
 			const nlohmann::json spec = nlohmann::json::parse(it->second.spec, nullptr, false);
 			_visit(it->first.substr(prefix.size()), spec, "/" + it->first + "/spec");
 		}
@@ -121,6 +127,7 @@
 		return {};
 	}
 
+	// Defaults below are those of fields that the schema declares optional; check_all has refused all others.
 	void read_places()
 	{
 		each("region",
--- a/src/policy_p.h
+++ b/src/policy_p.h
@@ -2,7 +2,14 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// The operators' resources as typed, immutable tables.
+/// The operators' resources as typed, immutable tables (policy), built from the agreed configuration.
+///
+/// Decides: whether a configuration is valid. One mistake refuses the whole, and all mistakes are reported.
+/// Owns: nothing that changes. A policy is shared by all threads; handles index the tables of one policy and
+/// mean nothing in another.
+/// Relies on: schema for the form of each resource; prefix match of client blocks (lookup_table).
+/// Units: shares, demands and max_share from 0 to 1; slots and connections are counts; times as their types
+/// say. Cost of building with up to 1.1 million client blocks: docs/CAPACITY.md.
 #pragma once
 
 #include "lookup_table_p.h"
@@ -39,8 +46,8 @@
 struct region_spec
 {
 	std::string name;
-	double max_share = 1.0;
-	bool drain = false;
+	double max_share = 1.0; ///< Part of the slots of a service that may be used there, 0 to 1.
+	bool drain = false;     ///< No new work.
 };
 
 struct domain_spec
@@ -50,6 +57,7 @@
 	bool drain = false;
 };
 
+/// Where callers are; a client block names it.
 struct site_spec
 {
 	std::string name;
@@ -60,9 +68,9 @@
 {
 	std::string name;
 	domain_handle domain;
-	endpoint callers;
-	endpoint relay;
-	endpoint peers;
+	endpoint callers; ///< Where callers connect.
+	endpoint relay;   ///< Where other entry VMs send requests on.
+	endpoint peers;   ///< Where other entry VMs send control messages.
 	bool drain = false;
 };
 
@@ -70,17 +78,17 @@
 struct steering_spec
 {
 	std::vector<double> shares; ///< By region handle; the sum is 1.
-	std::vector<double> demand; ///< By region handle; the sum is 1.
-	double cap = 0.1;
-	std::chrono::microseconds window{std::chrono::seconds(10)};
+	std::vector<double> demand; ///< Part of callers at home in each region, by region handle; the sum is 1.
+	double cap = 0.1;           ///< Share that a region may gain within a window.
+	std::chrono::microseconds window{std::chrono::seconds(10)}; ///< Length of the sliding window.
 };
 
 struct service_spec
 {
 	std::string name;
-	std::chrono::milliseconds run_limit{0};
-	std::chrono::milliseconds deadline{0};
-	std::size_t owners = 1;
+	std::chrono::milliseconds run_limit{0}; ///< Longest time a request may run at a backend server.
+	std::chrono::milliseconds deadline{0};  ///< For requests that name none.
+	std::size_t owners = 1;                 ///< Entry VMs of a failure domain that share its backend servers.
 	steering_spec steering;
 };
 
@@ -90,9 +98,9 @@
 	service_handle service;
 	domain_handle domain;
 	endpoint address;
-	int slots = 0;
-	int connections = 0;
-	bool drain = false;
+	int slots = 0;       ///< Requests that it can run at once.
+	int connections = 0; ///< Connections that it accepts; larkrackd does not limit by it.
+	bool drain = false;  ///< No new work; what runs there ends whole.
 };
 
 /// All tables at one revision. Handles index them and are valid for this policy only.
@@ -106,7 +114,7 @@
 	std::vector<service_spec> services;
 	std::vector<backend_spec> backends;
 	std::shared_ptr<const lookup_table> clients;
-	/// Blocks of each shard, so that a change reads only the shard that it touches.
+	/// Blocks of each shard by "client_blocks/name", so that a change reads only the shard that it touches.
 	std::map<std::string, std::shared_ptr<const std::vector<client_block>>> client_shards;
 
 	/// @returns Handle of the thing of that name, or an invalid one.
--- a/src/record_book.cpp
+++ b/src/record_book.cpp
@@ -9,7 +9,7 @@
 {
 namespace
 {
-std::uint64_t mark_of(const record& _record)
+std::uint64_t hash_of(const record& _record)
 {
 	return XXH64(_record.key.data(), _record.key.size(), _record.sequence);
 }
@@ -23,10 +23,10 @@
 	{
 		return false;
 	}
-	// The sum of marks does not depend on the order of arrival.
-	m_digest -= is_new ? 0 : mark_of(known);
+	// A sum of hashes does not depend on the order of arrival.
+	m_digest -= is_new ? 0 : hash_of(known);
 	known = _record;
-	m_digest += mark_of(known);
+	m_digest += hash_of(known);
 	return true;
 }
 
--- a/src/record_book_p.h
+++ b/src/record_book_p.h
@@ -2,7 +2,12 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Copies of the platform's small records (owners, steps of shifts) at this node.
+/// This node's copies of the store's small records: owners of backend servers, and steps of shifts.
+///
+/// Decides: whether a record that the store or a peer tells replaces the copy; only a higher sequence does.
+/// Owns: the copies, and a digest of their keys and sequences that heartbeats compare (anti-entropy). In
+/// memory only: filled anew from the store or a peer. During an outage of the store the copies stay in force.
+/// Relies on: writers that raise the sequence by compare-and-swap (platform_sync::update_record).
 #pragma once
 
 #include "message_p.h"
@@ -13,7 +18,7 @@
 
 namespace larkrack
 {
-/// Takes only higher sequences. One thread.
+/// Not thread-safe: control thread only.
 class record_book
 {
 public:
--- a/src/retry_budget_p.h
+++ b/src/retry_budget_p.h
@@ -2,7 +2,12 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Bounds retries to a share of first tries.
+/// Retry budget of one larkrackd: a token bucket that first tries fill.
+///
+/// Decides: whether a retry may be made. It bounds what retries add to the load while backend servers are
+/// slow. Owns: the tokens, shared by the traffic threads of one process. Unlike windowed_retry_budget of
+/// larkrack-edge (rate_limits_p.h), which keeps a ratio that operators set within a sliding window, this one
+/// has fixed figures, and its burst is saved up without a time limit.
 #pragma once
 
 #include "larkrack/config.h"
@@ -12,12 +17,12 @@
 
 namespace larkrack
 {
-/// Thread-safe. Each first try earns a share of a retry.
+/// Thread-safe. Each first try adds a part of a token; a retry takes a whole one.
 class retry_budget
 {
 public:
-	/// @param[in] _share Retries for each first try.
-	/// @param[in] _burst Retries that may be saved up.
+	/// @param[in] _share Tokens for each first try, 0 to 1.
+	/// @param[in] _burst Tokens that may be saved up; the bucket starts full.
 	explicit retry_budget(double _share = k_retry_share, double _burst = k_retry_burst)
 	    : m_share(_share), m_burst(_burst), m_saved(_burst)
 	{
@@ -44,6 +49,6 @@
 	std::mutex m_mutex;
 	double m_share;
 	double m_burst;
-	double m_saved;
+	double m_saved; ///< Tokens.
 };
 } // namespace larkrack
--- a/src/schema.cpp
+++ b/src/schema.cpp
@@ -15,6 +15,7 @@
 {
 namespace
 {
+/// Characters of a wrong value that a mistake shows.
 constexpr std::size_t k_value_shown = 60;
 
 /// Turns "<root>[a][b]" into "/a/b".
--- a/src/schema_p.h
+++ b/src/schema_p.h
@@ -3,6 +3,9 @@
 
 /// @file
 /// Checks JSON documents against JSON schemas and reports every mistake at once.
+///
+/// Owns: the schemas of larkrackd's settings and of all resource kinds (schema_tables.cpp).
+/// Relies on: valijson. Used by both programs; larkrack-edge brings the schema of its own settings.
 #pragma once
 
 #include <nlohmann/json.hpp>
--- a/src/settings.cpp
+++ b/src/settings.cpp
@@ -68,6 +68,7 @@
 		return mistakes;
 	}
 	settings read;
+	// The schema has checked presence and types; defaults below are those of optional fields.
 	read.name = _document["name"];
 	read.region = _document["region"];
 	read.domain = _document["domain"];
--- a/src/settings_p.h
+++ b/src/settings_p.h
@@ -2,7 +2,11 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Settings of larkrackd, read from JSON and checked by schema.
+/// Settings of larkrackd, read from JSON and checked by schema; and addresses of the form IP:port.
+///
+/// Owns: the settings of this process, read once at its start.
+/// Relies on: schema_settings for form and defaults that people see. edge_settings of larkrack-edge shares
+/// the schema check and endpoint only: it has other fields and is read again while the process lives.
 #pragma once
 
 #include "kernel_p.h"
@@ -29,26 +33,26 @@
 /// Settings of one larkrackd; see the schema for their meaning.
 struct settings
 {
-	std::string name;
+	std::string name; ///< Of this entry VM, as the configuration names it.
 	std::string region;
-	std::string domain;
-	endpoint callers;
-	endpoint relay;
-	endpoint peers;
-	endpoint operators;
-	endpoint platform;
-	std::vector<endpoint> seeds;
-	std::string secret;
+	std::string domain;          ///< Failure domain.
+	endpoint callers;            ///< Listens for callers.
+	endpoint relay;              ///< Listens for requests of other entry VMs.
+	endpoint peers;              ///< Listens for control messages of other entry VMs.
+	endpoint operators;          ///< Listens for operators and scrapes.
+	endpoint platform;           ///< The store.
+	std::vector<endpoint> seeds; ///< Peers that are asked for a configuration when there is none.
+	std::string secret;          ///< Shared by all entry VMs; signs grants, relays and handshakes.
 	std::string operator_token;
-	std::string chooser = "own_count";
-	std::string log_file;
-	std::string trace_file;
-	std::string trace_http;
-	double trace_share = 0.0;
+	std::string chooser = "own_count"; ///< Rule of choice among owned backend servers.
+	std::string log_file;              ///< Empty: standard output.
+	std::string trace_file;            ///< Empty: no file.
+	std::string trace_http;            ///< Collector; empty: none.
+	double trace_share = 0.0;          ///< Part of requests without a trace that are traced, 0 to 1.
 	std::size_t traffic_threads = 1;
-	bool read_ahead = true;
-	bool trust_caller_header = false;
-	bool test_faults = false;
+	bool read_ahead = true;           ///< Read answers ahead of slow callers.
+	bool trust_caller_header = false; ///< Take the caller's address from Larkrack-Caller.
+	bool test_faults = false;         ///< Let tests cut links.
 };
 
 /// Checks and reads settings.
--- a/src/shift.cpp
+++ b/src/shift.cpp
@@ -74,8 +74,8 @@
 {
 	step_record record;
 	const nlohmann::json document = nlohmann::json::parse(_text, nullptr, false);
-	// No record yet, or foreign text. Silent, because it is read at every tick: the driver then records the goal
-	// as the step in force (control::next_step), and each node's mix_limiter still keeps to the cap.
+	// No record yet, or foreign text. Silent, because it is read at every tick: the driver then records the
+	// goal as the step in force (control::next_step), and each node's mix_limiter still keeps to the cap.
 	if (!document.is_object())
 	{
 		return record;
--- a/src/store_http.cpp
+++ b/src/store_http.cpp
@@ -9,7 +9,8 @@
 {
 namespace
 {
-/// A watch that carries nothing for so long is opened anew.
+/// A watch that carries nothing for this long is opened anew, as its connection may be dead. Shorter finds
+/// that sooner and opens more watches (calls counted in docs/CAPACITY.md). Not measured.
 constexpr std::chrono::seconds k_watch_silence{30};
 
 std::int64_t number(const nlohmann::json& _object, const char* _field)
--- a/src/store_p.h
+++ b/src/store_p.h
@@ -2,7 +2,12 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// The platform's key-value service: compare-and-swap, leases, watches.
+/// Client of the key-value store: reads, compare-and-swap transactions, leases, watches.
+///
+/// Decides: what is known after a call (call_status): a lost answer to a write is `unsure`, never `not_done`.
+/// Owns: its connections and a count of calls by use. It neither repeats calls nor backs off: callers do.
+/// Relies on: a store that gives each write one revision which only grows, and that answers within
+/// k_platform_deadline.
 #pragma once
 
 #include "http_p.h"
@@ -83,7 +88,7 @@
 	std::int64_t store_revision = 0;
 };
 
-/// Why a watch ended.
+/// Why a watch ended. None of these is logged here: platform_sync knows which of them matters.
 enum class watch_end
 {
 	stopped,      ///< The callback asked for it.
--- a/src/tracer_otlp.cpp
+++ b/src/tracer_otlp.cpp
@@ -14,9 +14,13 @@
 {
 namespace
 {
+/// Spans that wait for an export; further ones are dropped. More costs memory. Not measured.
 constexpr std::size_t k_queue_limit = 4096;
+/// Time between two exports. Shorter needs less queue and more calls. Not measured.
 constexpr std::chrono::milliseconds k_export_interval{500};
+/// Deadline of one export. Not measured.
 constexpr std::chrono::milliseconds k_export_timeout{1000};
+// Sizes of the W3C form "00-<trace>-<span>-<flags>", in characters.
 constexpr std::size_t k_traceparent_size = 55;
 constexpr std::size_t k_trace_digits = 32;
 constexpr std::size_t k_span_digits = 16;
--- a/src/traffic_view_p.h
+++ b/src/traffic_view_p.h
@@ -2,7 +2,11 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// What traffic threads see of the control state: one immutable snapshot.
+/// What traffic threads see of the control state: one immutable snapshot, swapped by pointer.
+///
+/// For: a request is handled under one consistent state, and no traffic thread waits for the control thread.
+/// Owns: view_board holds the newest snapshot; a request keeps the one it began with alive.
+/// Relies on: control, which publishes several times in a heartbeat interval and after each change.
 #pragma once
 
 #include "gate_p.h"
@@ -22,17 +26,17 @@
 	bool alive = false;
 	bool leaving = false; ///< Gets no new look-ups and no relays.
 	incarnation life;
-	std::vector<service_headroom> rooms; ///< By service handle.
+	std::vector<service_headroom> rooms; ///< Its slots as it last reported them, by service handle.
 };
 
 /// One service as traffic threads see it.
 struct service_view
 {
-	mix plan;
-	std::vector<bool> open; ///< By region handle: somebody there can serve.
+	mix plan;               ///< Which region serves the callers of each home region.
+	std::vector<bool> open; ///< By region handle: some entry VM there can serve.
 };
 
-/// One snapshot.
+/// One snapshot. Handles are those of its own policy.
 struct traffic_view
 {
 	policy_ptr rules;
