--- a/src/carrier.cpp
+++ b/src/carrier.cpp
@@ -80,7 +80,7 @@
 carrier::carrier(asio::io_context& _context, const kernel& _kernel, retry_budget& _budget)
     : m_context(_context), m_settings(_kernel.find<settings_service>("settings")->get()),
       m_clock(*_kernel.find<clock_base>("clock")), m_gate(*_kernel.find<gate>("gate")),
-      m_keys(*_kernel.find<key_table>("key_table")), m_board(*_kernel.find<view_board>("view_board")),
+      m_keys(*_kernel.find<key_table>("key_table")), m_board(*_kernel.find<view_publisher>("view_publisher")),
       m_metrics(*_kernel.find<metrics>("metrics")), m_tracer(_kernel.find<tracer_service>("tracer")->get()),
       m_budget(_budget), m_signer(m_settings.secret), m_pool(_context.get_executor()),
       m_random(std::random_device{}()), m_lookups(m_random())
--- a/src/carrier_p.h
+++ b/src/carrier_p.h
@@ -134,7 +134,7 @@
 	clock_base& m_clock;
 	gate& m_gate;
 	key_table& m_keys;
-	view_board& m_board;
+	view_publisher& m_board;
 	metrics& m_metrics;
 	const tracer_otlp& m_tracer;
 	retry_budget& m_budget;
--- a/src/config_book.cpp
+++ b/src/config_replica.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 the larkrack developers. All rights reserved.
 // License: BSD 2-Clause, see LICENSE.
 
-#include "config_book_p.h"
+#include "config_replica_p.h"
 
 namespace larkrack
 {
@@ -12,7 +12,7 @@
 constexpr std::size_t k_changes = 1000;
 } // namespace
 
-void config_book::remember(const config_state& _next)
+void config_replica::remember(const config_state& _next)
 {
 	change one{m_state.rev, _next.rev, {}};
 	for (const auto& [key, value] : _next.resources)
@@ -37,7 +37,7 @@
 	}
 }
 
-take_status config_book::take(config_state _state)
+take_status config_replica::take(config_state _state)
 {
 	if (!(m_state.rev < _state.rev))
 	{
@@ -55,7 +55,7 @@
 	return take_status::taken;
 }
 
-take_status config_book::take(const message_config& _message)
+take_status config_replica::take(const message_config& _message)
 {
 	if (!(m_state.rev < _message.rev))
 	{
@@ -84,7 +84,7 @@
 	return take(std::move(next));
 }
 
-message_config config_book::since(revision _have) const
+message_config config_replica::since(revision _have) const
 {
 	message_config reply;
 	reply.rev = m_state.rev;
--- a/src/config_book_p.h
+++ b/src/config_replica_p.h
@@ -29,7 +29,7 @@
 };
 
 /// Not thread-safe: control thread only.
-class config_book
+class config_replica
 {
 public:
 	/// Takes a whole configuration.
--- a/src/control.cpp
+++ b/src/control.cpp
@@ -32,7 +32,7 @@
 	m_gate = _kernel.find<gate>("gate");
 	m_peers = _kernel.find<peers_base>("peers");
 	m_sync = _kernel.find<platform_sync>("platform_sync");
-	m_board = _kernel.find<view_board>("view_board");
+	m_board = _kernel.find<view_publisher>("view_publisher");
 	m_life.value = static_cast<std::uint64_t>(to_us(m_clock->wall()));
 	m_members = std::make_unique<membership>(m_settings->name, m_settings->domain, m_life);
 	m_last_tick = m_clock->steady();
--- a/src/control_p.h
+++ b/src/control_p.h
@@ -117,7 +117,7 @@
 	gate* m_gate = nullptr;
 	peers_base* m_peers = nullptr;
 	platform_sync* m_sync = nullptr;
-	view_board* m_board = nullptr;
+	view_publisher* m_board = nullptr;
 	std::unique_ptr<membership> m_members;
 	std::map<std::string, service_state> m_services;
 	std::map<std::string, mix_limiter> m_drivers;
--- a/src/node.cpp
+++ b/src/node.cpp
@@ -43,7 +43,7 @@
 	m_kernel.add(std::move(known));
 	m_kernel.add(std::make_unique<metrics>());
 	m_kernel.add(std::make_unique<tracer_service>(m_context));
-	m_kernel.add(std::make_unique<view_board>());
+	m_kernel.add(std::make_unique<view_publisher>());
 	m_kernel.add(std::make_unique<gate>(_settings.chooser));
 	m_kernel.add(std::make_unique<key_table>());
 	m_kernel.add(std::make_unique<store_http>(m_context, _settings.platform));
--- a/src/operators.cpp
+++ b/src/operators.cpp
@@ -68,7 +68,7 @@
 	m_gate = _kernel.find<gate>("gate");
 	m_peers = _kernel.find<peers_base>("peers");
 	m_metrics = _kernel.find<metrics>("metrics");
-	m_board = _kernel.find<view_board>("view_board");
+	m_board = _kernel.find<view_publisher>("view_publisher");
 	m_keys = _kernel.find<key_table>("key_table");
 	m_server = std::make_unique<http_server>(m_context,
 	    [this](http_session& _session, http_request& _request, const yield_context& _yield)
--- a/src/platform_sync_p.h
+++ b/src/platform_sync_p.h
@@ -6,8 +6,8 @@
 /// VMs.
 #pragma once
 
-#include "config_book_p.h"
-#include "record_book_p.h"
+#include "config_replica_p.h"
+#include "record_replica_p.h"
 #include "store_p.h"
 
 #include <functional>
@@ -65,11 +65,11 @@
 	void shutdown() override;
 
 	/// @returns Configuration in force.
-	config_book& configuration()
+	config_replica& configuration()
 	{
 		return m_book;
 	}
-	record_book& records()
+	record_replica& records()
 	{
 		return m_records;
 	}
@@ -144,8 +144,8 @@
 	endpoint m_platform;
 	store_base* m_store = nullptr;
 	http_caller m_caller;
-	config_book m_book;
-	record_book m_records;
+	config_replica m_book;
+	record_replica m_records;
 	std::set<std::string> m_gone;
 	std::function<void(bool, const std::vector<record>&)> m_on_change;
 	std::mt19937_64 m_random;
--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -280,14 +280,14 @@
 		    changed && m_mistakes.empty() ? make_table() : (m_former ? m_former->clients : nullptr);
 	}
 
-	std::shared_ptr<const lookup_table> make_table() const
+	std::shared_ptr<const prefix_table> make_table() const
 	{
 		std::vector<client_block> all;
 		for (const auto& [key, shard] : m_policy->client_shards)
 		{
 			all.insert(all.end(), shard->begin(), shard->end());
 		}
-		return std::make_shared<lookup_table>(std::move(all));
+		return std::make_shared<prefix_table>(std::move(all));
 	}
 
 	void read_shard(const std::string& _key, const std::string& _spec,
--- a/src/policy_p.h
+++ b/src/policy_p.h
@@ -7,12 +7,12 @@
 /// Decides: whether a configuration is valid. One mistake refuses the whole, and all mistakes are reported.
 /// Owns: nothing that changes. A policy is shared by all threads; handles index the tables of one policy and
 /// mean nothing in another.
-/// Relies on: schema for the form of each resource; prefix match of client blocks (lookup_table).
+/// Relies on: schema for the form of each resource; prefix match of client blocks (prefix_table).
 /// Units: shares, demands and max_share from 0 to 1; slots and connections are counts; times as their types
 /// say. Cost of building with up to 1.1 million client blocks: docs/CAPACITY.md.
 #pragma once
 
-#include "lookup_table_p.h"
+#include "prefix_table_p.h"
 #include "schema_p.h"
 #include "settings_p.h"
 
@@ -113,7 +113,7 @@
 	std::vector<entry_vm_spec> entry_vms;
 	std::vector<service_spec> services;
 	std::vector<backend_spec> backends;
-	std::shared_ptr<const lookup_table> clients;
+	std::shared_ptr<const prefix_table> clients;
 	/// Blocks of each shard by "client_blocks/name", so that a change reads only the shard that it touches.
 	std::map<std::string, std::shared_ptr<const std::vector<client_block>>> client_shards;
 
--- a/src/lookup_table.cpp
+++ b/src/prefix_table.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 the larkrack developers. All rights reserved.
 // License: BSD 2-Clause, see LICENSE.
 
-#include "lookup_table_p.h"
+#include "prefix_table_p.h"
 
 #include <algorithm>
 
@@ -159,7 +159,7 @@
 	return block;
 }
 
-lookup_table::lookup_table(std::vector<client_block> _blocks) : m_blocks(_blocks.size())
+prefix_table::prefix_table(std::vector<client_block> _blocks) : m_blocks(_blocks.size())
 {
 	const auto middle = std::stable_partition(_blocks.begin(), _blocks.end(),
 	    [](const client_block& _block)
@@ -172,7 +172,7 @@
 	build_v6(v6);
 }
 
-void lookup_table::build_v4(std::vector<client_block>& _blocks)
+void prefix_table::build_v4(std::vector<client_block>& _blocks)
 {
 	for (const flat_range& range : flattener().run(_blocks))
 	{
@@ -196,7 +196,7 @@
 	}
 }
 
-void lookup_table::build_v6(std::vector<client_block>& _blocks)
+void prefix_table::build_v6(std::vector<client_block>& _blocks)
 {
 	for (const flat_range& range : flattener().run(_blocks))
 	{
@@ -207,7 +207,7 @@
 	m_v6_site.shrink_to_fit();
 }
 
-site_handle lookup_table::find(const boost::asio::ip::address& _address) const
+site_handle prefix_table::find(const boost::asio::ip::address& _address) const
 {
 	if (0 == m_blocks)
 	{
@@ -227,7 +227,7 @@
 	return m_v4_site[static_cast<std::size_t>(it - m_v4_first.begin()) - 1];
 }
 
-std::size_t lookup_table::bytes() const
+std::size_t prefix_table::bytes() const
 {
 	return m_v4_first.capacity() * sizeof(std::uint32_t) + m_v4_site.capacity() * sizeof(site_handle) +
 	       m_v4_index.capacity() * sizeof(std::uint32_t) + m_v6_first.capacity() * sizeof(wide_address) +
--- a/src/lookup_table_p.h
+++ b/src/prefix_table_p.h
@@ -55,12 +55,12 @@
 wide_address widen(const boost::asio::ip::address& _address);
 
 /// Immutable table. Nested blocks are flattened to ranges when it is built.
-class lookup_table
+class prefix_table
 {
 public:
-	lookup_table() = default;
+	prefix_table() = default;
 	/// @param[in] _blocks Blocks in any order; of equal blocks the last one counts.
-	explicit lookup_table(std::vector<client_block> _blocks);
+	explicit prefix_table(std::vector<client_block> _blocks);
 
 	/// @returns Site of the longest block that holds the address; invalid when there is none.
 	site_handle find(const boost::asio::ip::address& _address) const;
--- a/src/record_book.cpp
+++ b/src/record_replica.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 the larkrack developers. All rights reserved.
 // License: BSD 2-Clause, see LICENSE.
 
-#include "record_book_p.h"
+#include "record_replica_p.h"
 
 #include <xxhash.h>
 
@@ -15,7 +15,7 @@
 }
 } // namespace
 
-bool record_book::take(const record& _record)
+bool record_replica::take(const record& _record)
 {
 	record& known = m_records[_record.key];
 	const bool is_new = known.key.empty();
@@ -30,13 +30,13 @@
 	return true;
 }
 
-std::string record_book::value_of(const std::string& _key) const
+std::string record_replica::value_of(const std::string& _key) const
 {
 	const auto it = m_records.find(_key);
 	return m_records.end() == it ? std::string() : it->second.value;
 }
 
-std::map<std::string, std::uint64_t> record_book::sequences() const
+std::map<std::string, std::uint64_t> record_replica::sequences() const
 {
 	std::map<std::string, std::uint64_t> all;
 	for (const auto& [key, one] : m_records)
@@ -46,7 +46,7 @@
 	return all;
 }
 
-std::vector<record> record_book::newer_than(const std::map<std::string, std::uint64_t>& _have) const
+std::vector<record> record_replica::newer_than(const std::map<std::string, std::uint64_t>& _have) const
 {
 	std::vector<record> newer;
 	for (const auto& [key, one] : m_records)
--- a/src/record_book_p.h
+++ b/src/record_replica_p.h
@@ -19,7 +19,7 @@
 namespace larkrack
 {
 /// Not thread-safe: control thread only.
-class record_book
+class record_replica
 {
 public:
 	/// @returns Whether the record was newer and was taken.
--- a/src/traffic_view_p.h
+++ b/src/traffic_view_p.h
@@ -5,7 +5,7 @@
 /// What traffic threads see of the control state: one immutable snapshot, swapped by pointer.
 ///
 /// For: a request is handled under one consistent state, and no traffic thread waits for the control thread.
-/// Owns: view_board holds the newest snapshot; a request keeps the one it began with alive.
+/// Owns: view_publisher holds the newest snapshot; a request keeps the one it began with alive.
 /// Relies on: control, which publishes several times in a heartbeat interval and after each change.
 #pragma once
 
@@ -51,12 +51,12 @@
 using view_ptr = std::shared_ptr<const traffic_view>;
 
 /// Hands snapshots from the control thread to traffic threads.
-class view_board : public service_base
+class view_publisher : public service_base
 {
 public:
 	const char* name() const override
 	{
-		return "view_board";
+		return "view_publisher";
 	}
 	void publish(view_ptr _view)
 	{
--- a/tests/carrier_test.cpp
+++ b/tests/carrier_test.cpp
@@ -46,7 +46,7 @@
 			services.add(std::make_unique<settings_service>(own));
 			services.add(std::make_unique<metrics>());
 			services.add(std::make_unique<tracer_service>(_context));
-			services.add(std::make_unique<view_board>());
+			services.add(std::make_unique<view_publisher>());
 			services.add(std::make_unique<gate>("own_count"));
 			services.add(std::make_unique<key_table>());
 			services.init();
@@ -118,7 +118,7 @@
 			service_view service;
 			service.plan = plan_mix({1.0 / 3, 1.0 / 3, 1.0 / 3}, {1.0, 0.0, 0.0});
 			view->services = {service};
-			one->services.find<view_board>("view_board")->publish(view);
+			one->services.find<view_publisher>("view_publisher")->publish(view);
 		}
 		backend_grant grant;
 		grant.name = "shop-east";
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -6,7 +6,7 @@
 
 #include "fixtures.h"
 
-#include "config_book_p.h"
+#include "config_replica_p.h"
 #include "log_p.h"
 #include "settings_p.h"
 
@@ -130,7 +130,7 @@
 				    block.site = {static_cast<std::uint16_t>(at)};
 				    blocks.push_back(block);
 			    }
-			    const lookup_table table(blocks);
+			    const prefix_table table(blocks);
 			    for (const std::uint32_t number : _numbers)
 			    {
 				    for (const std::uint32_t probe : {number, number + 1, number ^ 255})
@@ -145,7 +145,7 @@
 
 	void configuration_when_older_is_not_taken()
 	{
-		config_book book;
+		config_replica book;
 		CPPUNIT_ASSERT(take_status::taken == book.take(small_configuration(5)));
 		CPPUNIT_ASSERT(take_status::not_newer == book.take(small_configuration(5)));
 		CPPUNIT_ASSERT(take_status::not_newer == book.take(small_configuration(4)));
@@ -154,7 +154,7 @@
 
 	void configuration_when_invalid_is_refused_whole()
 	{
-		config_book book;
+		config_replica book;
 		book.take(small_configuration(1));
 		config_state next = small_configuration(2);
 		put(next, "region/east", {{"max_share", -1}});
@@ -193,8 +193,8 @@
 
 	void changes_when_passed_on_give_the_same_configuration()
 	{
-		config_book first;
-		config_book second;
+		config_replica first;
+		config_replica second;
 		first.take(small_configuration(1));
 		second.take(small_configuration(1));
 		config_state next = small_configuration(1);
@@ -212,7 +212,7 @@
 
 	void changes_when_base_is_unknown_are_a_gap()
 	{
-		config_book book;
+		config_replica book;
 		book.take(small_configuration(1));
 		message_config changes;
 		changes.base = {3};
