--- a/src/http_client.cpp
+++ b/src/http_client.cpp
@@ -84,8 +84,10 @@
 	connection->stream.async_connect(where, _yield[failure]);
 	if (failure)
 	{
+		// Not logged here: carriers and probes connect all the time, and log when they judge the server.
 		return nullptr;
 	}
+	// Without the option exchanges are slower, and correct all the same.
 	connection->stream.socket().set_option(tcp::no_delay(true), failure);
 	return connection;
 }
--- a/src/http_server.cpp
+++ b/src/http_server.cpp
@@ -47,6 +47,7 @@
     const asio::any_io_executor& _executor, std::chrono::microseconds _time, const yield_context& _yield)
 {
 	asio::steady_timer timer(_executor, _time);
+	// The timer is cancelled only with its context, which then runs no more coroutines.
 	boost::system::error_code ignored;
 	timer.async_wait(_yield[ignored]);
 }
@@ -65,6 +66,7 @@
 http_session::http_session(tcp::socket _socket, bool _secure_head)
     : m_stream(std::move(_socket)), m_check_head(_secure_head)
 {
+	// Both fail when the other side has left already; the first read then ends the session.
 	boost::system::error_code ignored;
 	m_peer = m_stream.socket().remote_endpoint(ignored);
 	m_stream.socket().set_option(tcp::no_delay(true), ignored);
@@ -116,6 +118,7 @@
 	}
 	if (failure)
 	{
+		// Callers leave idle connections all the time; a request that did not arrive whole was not run.
 		const bool nothing_came = !parser.got_some();
 		if (is_end(failure) || (beast::error::timeout == failure && nothing_came))
 		{
@@ -144,6 +147,7 @@
 	http_response response = make_json(_status, body.dump());
 	response.set(k_header_outcome, to_string(outcome::not_run));
 	response.set(k_header_reason, to_string(reason::bad_request));
+	// Whether the caller still reads it or not, the connection ends here and nothing was run.
 	send(response, _yield);
 	close();
 	return false;
@@ -229,6 +233,7 @@
 void http_session::close()
 {
 	m_keep_alive = false;
+	// Fails when the other side has closed, which is what is wanted.
 	boost::system::error_code ignored;
 	m_stream.socket().shutdown(tcp::socket::shutdown_both, ignored);
 	m_stream.close();
@@ -256,6 +261,8 @@
 	{
 		m_acceptor.set_option(reuse_port(true), failure);
 	}
+	// An error above makes bind fail, or is one of an option without which bind tells that the port is in
+	// use.
 	m_acceptor.bind(where, failure);
 	if (!failure)
 	{
@@ -271,6 +278,7 @@
 
 std::uint16_t http_server::port() const
 {
+	// Fails when the server does not listen; the port is 0 then.
 	boost::system::error_code ignored;
 	return m_acceptor.local_endpoint(ignored).port();
 }
@@ -284,6 +292,9 @@
 		    {
 			    return;
 		    }
+		    // A failed accept (the caller left, descriptors ran out) and a connection above the limit are not
+		    // logged, since in a flood there would be a line for each. Nothing was read, so the caller may go
+		    // elsewhere.
 		    if (!_failure && m_sessions->size() < m_limit)
 		    {
 			    auto session = std::make_shared<http_session>(std::move(_socket), true);
@@ -313,6 +324,7 @@
 {
 	*m_stopping = true;
 	*m_last_answers = true;
+	// The descriptor is gone either way.
 	boost::system::error_code ignored;
 	m_acceptor.close(ignored);
 }
--- a/src/message.cpp
+++ b/src/message.cpp
@@ -134,6 +134,8 @@
 	{
 		return message_get_records{_json.at("have").get<std::map<std::string, std::uint64_t>>()};
 	}
+	// Types are those of one protocol version; what is left is "r", and another one fails at its missing
+	// fields.
 	message_records body;
 	for (const json& one : _json.at("r"))
 	{
--- a/src/node.cpp
+++ b/src/node.cpp
@@ -65,6 +65,7 @@
 	}
 	log_event(event::node_started, {{"version", LARKRACK_VERSION}});
 	boost::asio::signal_set signals(m_context, SIGINT, SIGTERM);
+	// The wait fails only when the set is destroyed, after the context has stopped.
 	signals.async_wait(
 	    [this](const boost::system::error_code& _failure, int)
 	    {
--- a/src/peers_websocket.cpp
+++ b/src/peers_websocket.cpp
@@ -63,12 +63,14 @@
 			return error{
 			    "listen", "can not listen on " + to_string(m_settings.peers) + ": " + failure.message()};
 		}
+		// It fails only when the server does not listen, which it does here.
 		m_server.start_accept(failure);
 		return std::nullopt;
 	}
 
 	void shutdown() override
 	{
+		// The process ends; what could not be closed in order is closed with it.
 		ws::lib::error_code ignored;
 		m_server.stop_listening(ignored);
 		for (auto& [vm, link] : m_links)
@@ -162,6 +164,7 @@
 		std::string why = signed_well ? "" : "signature";
 		if (signed_well)
 		{
+			// A time that does not parse is 0, which is too old.
 			const std::int64_t at = std::strtoll(who.c_str() + last + 1, nullptr, 10);
 			const auto age = std::chrono::microseconds(to_us(m_clock.wall()) - at);
 			const bool fresh = age < k_handshake_age && -k_handshake_age < age;
@@ -182,6 +185,8 @@
 		++m_traffic.received_messages;
 		m_traffic.received_bytes += _bytes.size();
 		result<envelope> read = decode(_bytes);
+		// Peers are authenticated and speak the same version, so a message that can not be read is taken as
+		// lost: heartbeats and anti-entropy repeat its news. The same holds before somebody receives.
 		const envelope* message = value_of(read);
 		if (nullptr == message || 0 < m_cut.count(message->from) || !m_receiver)
 		{
@@ -196,6 +201,8 @@
 		auto connection = m_client.get_connection("ws://" + to_string(_where) + "/", failure);
 		if (failure)
 		{
+			// The address comes from a checked configuration. What waits is dropped; membership suspects the
+			// peer and logs that.
 			return;
 		}
 		const std::string who = identity();
@@ -207,6 +214,7 @@
 		    {
 			    opened(_vm);
 		    });
+		// Not logged: connections to a peer that is away fail at each heartbeat; membership logs the peer.
 		const auto lost = [this, _vm, raw = connection.get()](const ws::connection_hdl&)
 		{
 			closed(_vm, raw);
@@ -251,6 +259,7 @@
 			_to.connection->terminate(ignored);
 			return;
 		}
+		// An error means that the connection is closing; its close handler follows.
 		if (_to.connection->send(_bytes, ws::frame::opcode::binary))
 		{
 			return;
--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -307,6 +307,7 @@
 		std::vector<client_block> blocks;
 		for (const auto& [cidr, site] : spec["blocks"].items())
 		{
+			// Anything else was reported by check_resource.
 			if (site.is_string())
 			{
 				read_block(cidr, site, _sites, path, blocks);
--- a/src/schema.cpp
+++ b/src/schema.cpp
@@ -70,6 +70,7 @@
 	parser.populateSchema(valijson::adapters::NlohmannJsonAdapter(_schema), schema);
 	valijson::Validator validator;
 	valijson::ValidationResults results;
+	// Its result only says whether the list of errors is empty.
 	validator.validate(schema, valijson::adapters::NlohmannJsonAdapter(_document), &results);
 
 	std::vector<mistake> mistakes;
--- a/src/settings.cpp
+++ b/src/settings.cpp
@@ -93,6 +93,7 @@
 	read.read_ahead = _document.value("read_ahead", true);
 	read.trust_caller_header = _document.value("trust_caller_header", false);
 	read.test_faults = _document.value("test_faults", false);
+	// Addresses that the schema could not judge.
 	if (!mistakes.empty())
 	{
 		return mistakes;
--- a/src/store_http.cpp
+++ b/src/store_http.cpp
@@ -16,6 +16,7 @@
 std::int64_t number(const nlohmann::json& _object, const char* _field)
 {
 	const auto it = _object.find(_field);
+	// The gateway writes protobuf as JSON, which leaves out fields that are 0 or empty.
 	if (_object.end() == it)
 	{
 		return 0;
@@ -26,6 +27,7 @@
 
 store_value value_of_json(const nlohmann::json& _kv)
 {
+	// A missing field is an empty one; see number().
 	store_value value;
 	value.key = from_base64(_kv.value("key", ""));
 	value.value = from_base64(_kv.value("value", ""));
@@ -100,6 +102,7 @@
 		return {may_have_run ? call_status::unsure : call_status::not_done, {}};
 	}
 	const http_response& response = std::get<http_response>(called);
+	// Not logged here: platform_sync logs the change from reached to not reached, and not each call.
 	nlohmann::json body = nlohmann::json::parse(response.body(), nullptr, false);
 	if (http::status::ok != response.result() || body.is_discarded())
 	{
@@ -151,6 +154,7 @@
 	{
 		return answer;
 	}
+	// False is left out of the JSON; see number().
 	answer.succeeded = got.body.value("succeeded", false);
 	answer.store_revision = revision_of(got.body);
 	for (const nlohmann::json& part : got.body.value("responses", nlohmann::json::array()))
@@ -243,6 +247,7 @@
 			return watch_end::broken;
 		}
 	}
+	// Silence for k_watch_silence ends here too, so it is no error to log; the caller opens the watch anew.
 	return watch_end::broken;
 }
 } // namespace larkrack
--- a/src/store_p.h
+++ b/src/store_p.h
@@ -236,7 +236,7 @@
 
 /// @returns Base64 of a text, as the gateway wants keys and values.
 std::string to_base64(const std::string& _text);
-/// @returns Text of base64.
+/// @returns Text of base64, up to the first character that is none. Only the store's own answers come here.
 std::string from_base64(const std::string& _text);
 /// @returns End of the range of all keys with a prefix.
 std::string prefix_end(std::string _prefix);
--- a/src/tracer_otlp.cpp
+++ b/src/tracer_otlp.cpp
@@ -183,6 +183,7 @@
 trace_identity parse_traceparent(const std::string& _header)
 {
 	trace_identity identity;
+	// A header that is no traceparent counts as none, as W3C Trace Context asks; it is the caller's mistake.
 	if (k_traceparent_size > _header.size() || 0 != _header.compare(0, 3, "00-"))
 	{
 		return identity;
@@ -373,6 +374,7 @@
 			    const std::string body = m_tracer->drain();
 			    if (!body.empty())
 			    {
+				    // An export that fails loses its spans. Not logged: it would be a line every interval.
 				    caller.call(*m_collector,
 				        make_request(http::verb::post, "/v1/traces", *m_collector, body), k_export_timeout,
 				        _yield);
@@ -385,6 +387,7 @@
 void tracer_service::write_file()
 {
 	const std::string body = m_tracer->drain();
+	// Spans that the disk does not take are lost, and traffic goes on.
 	if (!body.empty() && !m_file.empty())
 	{
 		std::ofstream(m_file, std::ios::app) << body << '\n';
