--- a/src/lookup.cpp
+++ b/src/lookup.cpp
@@ -5,8 +5,9 @@
 
 #include "larkrack/config.h"
 
+#include "hash_p.h"
+
 #include <nlohmann/json.hpp>
-#include <xxhash.h>
 
 #include <algorithm>
 #include <cmath>
@@ -33,10 +34,8 @@
 double point_of(const boost::asio::ip::address& _caller, const std::string& _service)
 {
 	const wide_address wide = widen(_caller);
-	const std::uint64_t seed = XXH64(_service.data(), _service.size(), 0);
-	const std::uint64_t hash = XXH64(&wide, sizeof(wide), seed);
-	constexpr double k_steps = 9007199254740992.0; // 2^53, the doubles between 0 and 1 that are evenly spaced
-	return static_cast<double>(hash >> 11) / k_steps;
+	const std::string_view bytes(reinterpret_cast<const char*>(&wide), sizeof(wide));
+	return point_of_hash(hash64(bytes, hash64(_service)));
 }
 
 region_handle region_for(
@@ -96,7 +95,7 @@
 	std::uint64_t best_weight = 0;
 	for (std::size_t at = 0; at < _policy.entry_vms.size(); ++at)
 	{
-		const std::uint64_t weight = rendezvous(_key, _policy.entry_vms[at].name);
+		const std::uint64_t weight = rendezvous_weight(_key, _policy.entry_vms[at].name);
 		if (!is_valid(best) || best_weight < weight)
 		{
 			best = {static_cast<std::uint16_t>(at)};
--- a/src/membership.cpp
+++ b/src/membership.cpp
@@ -3,7 +3,7 @@
 
 #include "membership_p.h"
 
-#include <xxhash.h>
+#include "hash_p.h"
 
 #include <algorithm>
 
@@ -52,12 +52,6 @@
 }
 } // namespace
 
-std::uint64_t rendezvous(const std::string& _key, const std::string& _name)
-{
-	const std::uint64_t seed = XXH64(_key.data(), _key.size(), 0);
-	return XXH64(_name.data(), _name.size(), seed);
-}
-
 membership::membership(std::string _self, std::string _domain, incarnation _life)
     : m_domain(std::move(_domain))
 {
@@ -281,14 +275,7 @@
 std::vector<std::string> membership::role_of(
     const char* _role, std::size_t _count, const std::string& _domain, steady_time _now) const
 {
-	std::vector<std::string> names = alive_in(_domain, _now);
-	std::sort(names.begin(), names.end(),
-	    [&](const std::string& _a, const std::string& _b)
-	    {
-		    return rendezvous(_role, _b) < rendezvous(_role, _a);
-	    });
-	names.resize(std::min(names.size(), _count));
-	return names;
+	return rendezvous_first(_role, alive_in(_domain, _now), _count);
 }
 
 bool membership::has_role(const char* _role, std::size_t _count, steady_time _now) const
--- a/src/membership_p.h
+++ b/src/membership_p.h
@@ -133,7 +133,4 @@
 	steady_time m_next{};
 	std::size_t m_round = 0;
 };
-
-/// @returns Rendezvous weight of a name for a key.
-std::uint64_t rendezvous(const std::string& _key, const std::string& _name);
 } // namespace larkrack
--- a/src/ownership.cpp
+++ b/src/ownership.cpp
@@ -3,7 +3,7 @@
 
 #include "ownership_p.h"
 
-#include "membership_p.h"
+#include "hash_p.h"
 
 #include <algorithm>
 
@@ -12,18 +12,12 @@
 std::map<std::string, std::string> plan_owners(const std::string& _domain, const std::string& _service,
     const std::vector<std::string>& _backends, const std::set<std::string>& _present, std::size_t _owners)
 {
-	std::vector<std::string> ranked(_present.begin(), _present.end());
-	const std::string key = _domain + "/" + _service;
-	std::sort(ranked.begin(), ranked.end(),
-	    [&](const std::string& _a, const std::string& _b)
-	    {
-		    return rendezvous(key, _b) < rendezvous(key, _a);
-	    });
-	ranked.resize(std::min(ranked.size(), _owners));
+	const std::vector<std::string> owners =
+	    rendezvous_first(_domain + "/" + _service, {_present.begin(), _present.end()}, _owners);
 	std::map<std::string, std::string> wanted;
-	for (std::size_t at = 0; at < _backends.size() && !ranked.empty(); ++at)
+	for (std::size_t at = 0; at < _backends.size() && !owners.empty(); ++at)
 	{
-		wanted[_backends[at]] = ranked[at % ranked.size()];
+		wanted[_backends[at]] = owners[at % owners.size()];
 	}
 	return wanted;
 }
--- a/src/record_replica.cpp
+++ b/src/record_replica.cpp
@@ -3,7 +3,7 @@
 
 #include "record_replica_p.h"
 
-#include <xxhash.h>
+#include "hash_p.h"
 
 namespace larkrack
 {
@@ -11,7 +11,7 @@
 {
 std::uint64_t hash_of(const record& _record)
 {
-	return XXH64(_record.key.data(), _record.key.size(), _record.sequence);
+	return hash64(_record.key, _record.sequence);
 }
 } // namespace
 
