--- a/include/larkrack/ids.h
+++ b/include/larkrack/ids.h
@@ -50,35 +50,26 @@
 using backend_handle = handle<struct backend_tag>;
 using site_handle = handle<struct site_tag>;
 
-/// Revision of the configuration. Only grows.
-struct revision
+/// Number that only grows. The tag makes numbers of different things different types.
+template <typename Tag>
+struct growing_number
 {
 	std::uint64_t value = 0;
 
-	friend bool operator==(revision _a, revision _b)
+	friend bool operator==(growing_number _a, growing_number _b)
 	{
 		return _a.value == _b.value;
 	}
-	friend bool operator<(revision _a, revision _b)
+	friend bool operator<(growing_number _a, growing_number _b)
 	{
 		return _a.value < _b.value;
 	}
 };
 
+/// Revision of the configuration.
+using revision = growing_number<struct revision_tag>;
 /// Distinguishes two lives of a process on the same entry VM: start time in microseconds since 1970.
-struct incarnation
-{
-	std::uint64_t value = 0;
-
-	friend bool operator==(incarnation _a, incarnation _b)
-	{
-		return _a.value == _b.value;
-	}
-	friend bool operator<(incarnation _a, incarnation _b)
-	{
-		return _a.value < _b.value;
-	}
-};
+using incarnation = growing_number<struct incarnation_tag>;
 } // namespace larkrack
 
 namespace std
--- a/src/ownership.cpp
+++ b/src/ownership.cpp
@@ -97,13 +97,9 @@
 owner_record owners_from_text(const std::string& _text)
 {
 	owner_record record;
-	const nlohmann::json document = nlohmann::json::parse(_text, nullptr, false);
 	// No record yet, or foreign text. Silent, because it is read at every tick; the gate then gets no backend
 	// server from it, and the next write replaces it.
-	if (!document.is_object())
-	{
-		return record;
-	}
+	const nlohmann::json document = object_from_text(_text);
 	// Missing fields keep the defaults of owner_entry: held by nobody.
 	record.sequence = document.value("seq", std::uint64_t{0});
 	const nlohmann::json backends = document.value("backends", nlohmann::json::object());
--- a/src/schema.cpp
+++ b/src/schema.cpp
@@ -94,6 +94,16 @@
 	return mistakes;
 }
 
+nlohmann::json object_from_text(const std::string& _text)
+{
+	nlohmann::json document = nlohmann::json::parse(_text, nullptr, false);
+	if (!document.is_object())
+	{
+		return nlohmann::json::object();
+	}
+	return document;
+}
+
 std::string to_string(const std::vector<mistake>& _mistakes)
 {
 	std::string text;
--- a/src/schema_p.h
+++ b/src/schema_p.h
@@ -27,6 +27,8 @@
 /// @param[in] _schema JSON schema (draft 7).
 /// @returns All mistakes; empty when the document is valid.
 std::vector<mistake> check_schema(const nlohmann::json& _schema, const nlohmann::json& _document);
+/// @returns The JSON object in a text, or an empty one when the text holds none.
+nlohmann::json object_from_text(const std::string& _text);
 /// @returns Text for people, one line for each mistake.
 std::string to_string(const std::vector<mistake>& _mistakes);
 /// @returns Value at a JSON pointer, shortened for a message; "(missing)" when there is none.
--- a/src/shift.cpp
+++ b/src/shift.cpp
@@ -73,13 +73,9 @@
 step_record step_from_text(const std::string& _text)
 {
 	step_record record;
-	const nlohmann::json document = nlohmann::json::parse(_text, nullptr, false);
 	// No record yet, or foreign text. Silent, because it is read at every tick: the driver then records the
 	// goal as the step in force (control::next_step), and each node's mix_limiter still keeps to the cap.
-	if (!document.is_object())
-	{
-		return record;
-	}
+	const nlohmann::json document = object_from_text(_text);
 	// Records of earlier versions may lack fields, which then keep the defaults of step_record. A field of
 	// another type throws: only larkrackd writes these records.
 	record.sequence = document.value("seq", std::uint64_t{0});
--- a/src/store_base64.cpp
+++ b/src/store_base64.cpp
@@ -7,6 +7,17 @@
 
 namespace larkrack
 {
+std::int64_t integer_field(const nlohmann::json& _object, const char* _field)
+{
+	const auto it = _object.find(_field);
+	if (_object.end() == it)
+	{
+		return 0;
+	}
+	return it->is_string() ? std::strtoll(it->get<std::string>().c_str(), nullptr, 10)
+	                       : it->get<std::int64_t>();
+}
+
 std::string to_base64(const std::string& _text)
 {
 	std::string out(beast::detail::base64::encoded_size(_text.size()), '\0');
--- a/src/store_http.cpp
+++ b/src/store_http.cpp
@@ -13,26 +13,14 @@
 /// that sooner and opens more watches (calls counted in docs/CAPACITY.md). Not measured.
 constexpr std::chrono::seconds k_watch_silence{30};
 
-std::int64_t number(const nlohmann::json& _object, const char* _field)
-{
-	const auto it = _object.find(_field);
-	// The gateway writes protobuf as JSON, which leaves out fields that are 0 or empty.
-	if (_object.end() == it)
-	{
-		return 0;
-	}
-	return it->is_string() ? std::strtoll(it->get<std::string>().c_str(), nullptr, 10)
-	                       : it->get<std::int64_t>();
-}
-
 store_value value_of_json(const nlohmann::json& _kv)
 {
-	// A missing field is an empty one; see number().
+	// A missing field is an empty one; see integer_field().
 	store_value value;
 	value.key = from_base64(_kv.value("key", ""));
 	value.value = from_base64(_kv.value("value", ""));
-	value.mod_revision = number(_kv, "mod_revision");
-	value.lease = number(_kv, "lease");
+	value.mod_revision = integer_field(_kv, "mod_revision");
+	value.lease = integer_field(_kv, "lease");
 	return value;
 }
 
@@ -48,7 +36,7 @@
 
 std::int64_t revision_of(const nlohmann::json& _reply)
 {
-	return _reply.contains("header") ? number(_reply["header"], "revision") : 0;
+	return _reply.contains("header") ? integer_field(_reply["header"], "revision") : 0;
 }
 
 nlohmann::json range_json(const std::string& _key, bool _prefix)
@@ -154,7 +142,7 @@
 	{
 		return answer;
 	}
-	// False is left out of the JSON; see number().
+	// False is left out of the JSON; see integer_field().
 	answer.succeeded = got.body.value("succeeded", false);
 	answer.store_revision = revision_of(got.body);
 	for (const nlohmann::json& part : got.body.value("responses", nlohmann::json::array()))
@@ -175,7 +163,7 @@
 	{
 		return {got.status, 0, {}};
 	}
-	return {got.status, number(got.body, "ID"), std::chrono::seconds(number(got.body, "TTL"))};
+	return {got.status, integer_field(got.body, "ID"), std::chrono::seconds(integer_field(got.body, "TTL"))};
 }
 
 lease_reply store_http::lease_keep_alive(const char* _use, std::int64_t _id, const yield_context& _yield)
@@ -185,7 +173,7 @@
 	{
 		return {call_status::done == got.status ? call_status::not_done : got.status, _id, {}};
 	}
-	return {got.status, _id, std::chrono::seconds(number(got.body["result"], "TTL"))};
+	return {got.status, _id, std::chrono::seconds(integer_field(got.body["result"], "TTL"))};
 }
 
 lease_reply store_http::lease_revoke(const char* _use, std::int64_t _id, const yield_context& _yield)
--- a/src/store_p.h
+++ b/src/store_p.h
@@ -234,6 +234,9 @@
 	const clock_base& m_clock;
 };
 
+/// @returns An integer of the gateway's JSON, which may be a string, and which is left out when it is 0, as
+/// protobuf asks.
+std::int64_t integer_field(const nlohmann::json& _object, const char* _field);
 /// @returns Base64 of a text, as the gateway wants keys and values.
 std::string to_base64(const std::string& _text);
 /// @returns Text of base64, up to the first character that is none. Only the store's own answers come here.
--- a/src/testing/fake_platform.cpp
+++ b/src/testing/fake_platform.cpp
@@ -10,17 +10,6 @@
 constexpr std::chrono::milliseconds k_watch_poll{2};
 constexpr std::chrono::milliseconds k_lease_poll{20};
 
-std::int64_t number(const nlohmann::json& _object, const char* _field)
-{
-	const auto it = _object.find(_field);
-	if (_object.end() == it)
-	{
-		return 0;
-	}
-	return it->is_string() ? std::strtoll(it->get<std::string>().c_str(), nullptr, 10)
-	                       : it->get<std::int64_t>();
-}
-
 nlohmann::json to_json(const store_value& _value)
 {
 	nlohmann::json kv = {{"key", to_base64(_value.key)}, {"value", to_base64(_value.value)},
@@ -168,19 +157,19 @@
 	const steady_time now = m_clock.steady();
 	if ("/v3/lease/grant" == _path)
 	{
-		const std::int64_t ttl = number(_body, "TTL");
+		const std::int64_t ttl = integer_field(_body, "TTL");
 		const std::int64_t id = m_engine.lease_grant(std::chrono::seconds(ttl), now);
 		return {{"header", header()}, {"ID", std::to_string(id)}, {"TTL", std::to_string(ttl)}};
 	}
 	if ("/v3/lease/keepalive" == _path)
 	{
-		const std::int64_t id = number(_body, "ID");
+		const std::int64_t id = integer_field(_body, "ID");
 		const std::int64_t ttl = m_engine.lease_keep_alive(id, now).count();
 		return {{"result", {{"header", header()}, {"ID", std::to_string(id)}, {"TTL", std::to_string(ttl)}}}};
 	}
 	if ("/v3/lease/revoke" == _path)
 	{
-		m_engine.lease_revoke(number(_body, "ID"));
+		m_engine.lease_revoke(integer_field(_body, "ID"));
 		return {{"header", header()}};
 	}
 	return nullptr;
@@ -198,7 +187,7 @@
 	std::vector<store_compare> conditions;
 	for (const nlohmann::json& one : _body.value("compare", nlohmann::json::array()))
 	{
-		conditions.push_back({from_base64(one.value("key", "")), number(one, "mod_revision")});
+		conditions.push_back({from_base64(one.value("key", "")), integer_field(one, "mod_revision")});
 	}
 	std::vector<store_write> writes;
 	for (const nlohmann::json& one : _body.value("success", nlohmann::json::array()))
@@ -207,7 +196,7 @@
 		{
 			const nlohmann::json& put = one["requestPut"];
 			writes.push_back({from_base64(put.value("key", "")), from_base64(put.value("value", "")),
-			    number(put, "lease")});
+			    integer_field(put, "lease")});
 		}
 		if (one.contains("requestDeleteRange"))
 		{
@@ -228,7 +217,7 @@
 {
 	const nlohmann::json create = _body.value("create_request", nlohmann::json::object());
 	const std::string prefix = from_base64(create.value("key", ""));
-	std::int64_t next = number(create, "start_revision");
+	std::int64_t next = integer_field(create, "start_revision");
 	next = 0 == next ? m_engine.revision() + 1 : next;
 	const std::uint64_t epoch = m_epoch;
 	http::response<http::buffer_body> head(http::status::ok, 11);
--- a/src/traffic.cpp
+++ b/src/traffic.cpp
@@ -52,30 +52,27 @@
 	return std::nullopt;
 }
 
-void traffic::begin_stop()
+void traffic::post_to_servers(void (http_server::*_step)())
 {
 	for (const auto& one : m_workers)
 	{
 		asio::post(one->context,
-		    [raw = one.get()]
+		    [raw = one.get(), _step]
 		    {
-			    raw->callers.begin_stop();
-			    raw->relays.begin_stop();
+			    (raw->callers.*_step)();
+			    (raw->relays.*_step)();
 		    });
 	}
 }
 
+void traffic::begin_stop()
+{
+	post_to_servers(&http_server::begin_stop);
+}
+
 void traffic::stop_accepting()
 {
-	for (const auto& one : m_workers)
-	{
-		asio::post(one->context,
-		    [raw = one.get()]
-		    {
-			    raw->callers.stop_accepting();
-			    raw->relays.stop_accepting();
-		    });
-	}
+	post_to_servers(&http_server::stop_accepting);
 }
 
 void traffic::shutdown()
--- a/src/traffic_p.h
+++ b/src/traffic_p.h
@@ -48,6 +48,9 @@
 		std::atomic<int> in_flight{0};
 	};
 
+	/// Takes a step of the planned stop in each thread.
+	void post_to_servers(void (http_server::*_step)());
+
 	retry_budget m_budget;
 	std::vector<std::unique_ptr<worker>> m_workers;
 };
