--- a/include/larkrack/config.h
+++ b/include/larkrack/config.h
@@ -57,8 +57,8 @@
 /// A gap between two ticks of the control thread from this on counts as a pause of the process: others may
 /// have taken what it owned (docs/MEASUREMENTS.md, paused_holder).
 constexpr std::chrono::milliseconds k_pause_gap{2000};
-/// Time between two ticks of the control thread. Shorter frees slots and publishes sooner and costs processor
-/// time (commit 0b2feb0).
+/// Time between two ticks of the control thread. Shorter frees slots and notices a pause sooner and costs
+/// processor time (commit 0b2feb0).
 constexpr std::chrono::milliseconds k_tick{50};
 /// Life of a grant, and so how long a key is remembered. Longer costs memory for each key (k_keys). Not
 /// measured.
@@ -77,8 +77,8 @@
 /// Bytes of an answer that an entry VM reads ahead of a slow caller, so that the backend server's slot is
 /// free before the caller has read all (docs/MEASUREMENTS.md, drain_backend).
 constexpr std::size_t k_read_ahead = 8ULL * 1024 * 1024;
-/// Bytes that all answers in one traffic thread may hold in read-ahead; part of the memory budget in
-/// docs/CAPACITY.md.
+/// Bytes that all answers in one traffic thread may hold in read-ahead. More frees slots for more slow callers
+/// at once and costs this memory for each thread. Not measured.
 constexpr std::size_t k_read_ahead_total = 96ULL * 1024 * 1024;
 /// Bytes of one piece of a streamed body. Larger costs memory for each streamed answer and saves calls. Not
 /// measured.
--- a/include/larkrack/ids.h
+++ b/include/larkrack/ids.h
@@ -2,7 +2,8 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Strong types for ids: handles into the tables of one policy, configuration revisions, lives of a process.
+/// Strong types for ids: handles into the tables of one policy, configuration revisions, lives of a
+/// process.
 ///
 /// For: a handle of one table can not be taken for one of another, nor a revision for a life. Handles are
 /// valid for the policy that gave them only.
--- a/src/config_replica_p.h
+++ b/src/config_replica_p.h
@@ -5,11 +5,12 @@
 /// This node's copy of the agreed configuration.
 ///
 /// Decides: whether an offered configuration replaces the one in force. It must have a higher revision, fit
-/// the revision here when it holds changes only, and be valid as a whole. Owns: the configuration in force,
-/// its policy, and the keys of its last changes, from which peers that are behind are sent a difference. In
-/// memory only: a node that starts anew gets it from the store or a peer. Relies on: policy for validity;
-/// platform_sync for reading the store and asking peers. Units: revisions only grow; bytes and seconds for a
-/// change and a whole transfer: docs/CAPACITY.md.
+/// the revision here when it holds changes only, and be valid as a whole.
+/// Owns: the configuration in force, its policy, and the keys of its last changes, from which peers that
+/// are behind are sent a difference. In memory only: a node that starts anew gets it from the store or a
+/// peer.
+/// Relies on: policy for validity; platform_sync for reading the store and asking peers.
+/// Units: revisions only grow; bytes and seconds for a change and a whole transfer: docs/CAPACITY.md.
 #pragma once
 
 #include "message_p.h"
--- a/src/events_p.h
+++ b/src/events_p.h
@@ -2,8 +2,8 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Catalogue of log events of both programs. docs/EVENTS.md holds the same table for people; a test compares
-/// both.
+/// Catalogue of log events of both programs. docs/EVENTS.md holds the same table for people; a test
+/// compares both.
 ///
 /// Owns: numbers, names and severities. A number is never given to another event, since alerts are built on
 /// it.
--- a/src/gate_p.h
+++ b/src/gate_p.h
@@ -4,19 +4,21 @@
 /// @file
 /// Admission control of one entry VM for the backend servers that it owns.
 ///
-/// Decides: whether a request gets a slot now, waits in a short queue, or is refused. Running requests of a
-/// backend server never exceed the least of its slots, its concurrency limit (additive increase,
-/// multiplicative decrease: halved when it sheds) and its slow-start limit (while it is cold). Those of a
-/// service never exceed the region's max_share of all its slots here. The queue is as long as the slots in
-/// use can work off within the request's patience; a higher priority pushes out the last of the lowest.
+/// Decides: whether a request gets a slot now, waits in a short queue, or is refused. A request starts at a
+/// backend server only while those that run there are fewer than its slots, its concurrency limit (additive
+/// increase, multiplicative decrease: halved when it sheds) and its slow-start limit (while it is cold), and
+/// while those of the service are fewer than the region's max_share of all its slots here. (The choosers
+/// that docs/MEASUREMENTS.md compares with own_count do not keep to this.) The queue holds as many as the
+/// usable slots can serve within the request's patience; a higher priority pushes out the last of the lowest.
 /// Owns: the count of running requests of each backend server, one queue for each service, the last load
 /// report and smoothed latency. All of it is in memory: after a crash the next owner counts every slot as
 /// taken until backend_grant::full_until.
 /// Relies on: control, which says what is owned (update, hold); chooser, which orders backend servers that
 /// have a free slot; carrier, which gives each ticket back exactly once.
 /// Units: time points and latencies in microseconds; loads and shares are parts from 0 to 1; counts are
-/// slots. Reasons and figures: docs/DESIGN.md (The way of a request, Choice), docs/MEASUREMENTS.md (Beside
-/// the plain ways).
+/// slots.
+/// Reasons and figures: docs/DESIGN.md (The way of a request, Choice), docs/MEASUREMENTS.md (Beside the
+/// plain ways).
 #pragma once
 
 #include "chooser_p.h"
--- a/src/grant_p.h
+++ b/src/grant_p.h
@@ -6,8 +6,9 @@
 ///
 /// For: a key that is built on a grant names the entry VM and the life of its process that may run it, so
 /// that it runs at most once without a store (docs/DESIGN.md). The same secret signs relayed requests and
-/// handshakes. Owns: the shared secret from the settings, in memory. Relies on: carrier for checking expiry
-/// and life; clocks within k_clock_skew of each other.
+/// handshakes.
+/// Owns: the shared secret from the settings, in memory.
+/// Relies on: carrier for checking expiry and life; clocks within k_clock_skew of each other.
 #pragma once
 
 #include "clock_p.h"
--- a/src/hash_p.h
+++ b/src/hash_p.h
@@ -6,8 +6,9 @@
 ///
 /// For: a decision that every node makes alike without asking, and that changes for few keys when a node
 /// joins or leaves. Values must stay as they are: nodes of different versions run side by side during a
-/// deployment (tests/hash_test.cpp holds some). Owns: no state. Relies on: xxhash, compiled in so that no
-/// library is needed.
+/// deployment (tests/hash_test.cpp holds some).
+/// Owns: no state.
+/// Relies on: xxhash, compiled in so that no library is needed.
 #pragma once
 
 #include <algorithm>
--- a/src/http_p.h
+++ b/src/http_p.h
@@ -5,11 +5,13 @@
 /// HTTP/1.1 through Boost.Beast: a server whose handlers are coroutines, and a pooling client.
 ///
 /// For: larkrackd and the tools. Each step of a request is a line of a coroutine. http_listener of
-/// larkrack-edge is its counterpart by callbacks: it has no coroutine's stack for each connection (k_stack),
-/// since memory has a price there (docs/PLATFORM.md), and it streams no answers. Decides: what is a bad
-/// request (answered with a 4xx and `not_run`), and when a connection may be used again. Owns: sessions of
-/// callers, and idle connections to servers, each of one thread. Relies on: one thread for each I/O context,
-/// so no strand is needed. Units: limits in bytes and times from larkrack/config.h.
+/// larkrack-edge is its counterpart by callbacks: it has no coroutine's stack for each connection
+/// (k_stack), since memory has a price there (docs/PLATFORM.md), and it streams no answers.
+/// Decides: what is a bad request (answered with a 4xx and `not_run`), and when a connection may be used
+/// again.
+/// Owns: sessions of callers, and idle connections to servers, each of one thread.
+/// Relies on: one thread for each I/O context, so no strand is needed.
+/// Units: limits in bytes and times from larkrack/config.h.
 #pragma once
 
 #include "clock_p.h"
--- a/src/kernel_p.h
+++ b/src/kernel_p.h
@@ -5,8 +5,9 @@
 /// Micro-kernel: services that find each other by name, started in order and stopped in reverse order.
 ///
 /// For: a program is a list of services (node, fixtures of tests), and each part can be replaced by a
-/// stand-in of the same name. Owns: all services of a program, until its end. Relies on: the order of adding:
-/// a service finds in init only what was added before it.
+/// stand-in of the same name.
+/// Owns: all services of a program, until its end.
+/// Relies on: the order of adding: a service finds in init only what was added before it.
 #pragma once
 
 #include "larkrack/outcome.h"
--- a/src/membership_p.h
+++ b/src/membership_p.h
@@ -2,17 +2,18 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Membership by gossip: which entry VMs answer, and what each says of itself. Decisions only, no transport.
+/// Membership by gossip: which entry VMs answer, and what each says of itself. Decisions only, no
+/// transport.
 ///
 /// Decides: who gets a heartbeat and with which entries, how often (interval), who is suspected (state_of),
-/// and who holds a role such as reader or delegate (role_of, by rendezvous hashing). It never decides that an
-/// entry VM is gone: only its farewell or the store's list of VMs says so (docs/DESIGN.md, Membership).
+/// and who holds a role such as reader or delegate (role_of, by rendezvous hashing). It never decides that
+/// an entry VM is gone: only its farewell or the store's list of VMs says so (docs/DESIGN.md, Membership).
 /// Owns: the last entry heard of each configured entry VM; after a restart it is heard again within some
 /// intervals. An entry with a higher (life, sequence) replaces an older one, whoever passes it on.
-/// Relies on: control, which calls tick several times in an interval and sends what it returns; peers for the
-/// transport, which may lose messages; the configuration for the list of members. Units: times in
-/// microseconds; intervals grow with the number of configured entry VMs. Cost and spread for 3 to 460 nodes:
-/// docs/CAPACITY.md (Measured slopes).
+/// Relies on: control, which calls tick several times in an interval and sends what it returns; peers for
+/// the transport, which may lose messages; the configuration for the list of members.
+/// Units: times in microseconds; intervals grow with the number of configured entry VMs. Cost and spread
+/// for 3 to 460 nodes: docs/CAPACITY.md (Measured slopes).
 #pragma once
 
 #include "larkrack/config.h"
--- a/src/message_p.h
+++ b/src/message_p.h
@@ -5,9 +5,9 @@
 /// Control messages between entry VMs, and their encoding as CBOR.
 ///
 /// For: gossip of members, and anti-entropy of configuration and records (a node that hears of a higher
-/// revision or another digest asks for what it lacks). Owns: no state. Field names on the wire are short
-/// because heartbeats are most of the bytes. Relies on: peers for transport. Both sides speak the same
-/// protocol version (checked at the handshake).
+/// revision or another digest asks for what it lacks).
+/// Owns: no state. Field names on the wire are short because heartbeats are most of the bytes.
+/// Relies on: peers for transport. Both sides speak the same protocol version (checked at the handshake).
 #pragma once
 
 #include "membership_p.h"
--- a/src/mix_p.h
+++ b/src/mix_p.h
@@ -7,10 +7,10 @@
 /// Decides: which region serves a caller (mix::choose), with as many callers in their home region as the
 /// shares allow (plan_mix), and how far shares may move now (mix_limiter).
 /// Owns: nothing but the limiter's own history of shares, one window long. It is lost with the process;
-/// control starts a new one from the recorded step and from what older nodes report. Relies on: policy for
-/// region handles; control_shifts for targets and for which regions are open. Units: shares, demands and
-/// parts from 0 to 1; cap is a share for each window; times in microseconds. Reasons and figures:
-/// docs/DESIGN.md (Shifts), docs/MEASUREMENTS.md (rows shift and crash_region).
+/// control starts a new one from the recorded step and from what older nodes report.
+/// Relies on: policy for region handles; control_shifts for targets and for which regions are open.
+/// Units: shares, demands and parts from 0 to 1; cap is a share for each window; times in microseconds.
+/// Reasons and figures: docs/DESIGN.md (Shifts), docs/MEASUREMENTS.md (rows shift and crash_region).
 #pragma once
 
 #include "clock_p.h"
--- a/src/node_p.h
+++ b/src/node_p.h
@@ -5,8 +5,9 @@
 /// One larkrackd: its services in the order of their start, and its planned stop.
 ///
 /// Decides: the steps of a planned stop: look-ups leave the entry VM out, answers close their connections,
-/// owned backend servers are handed over, then farewell; k_stop_limit at most. Owns: the control thread's I/O
-/// context and, through the kernel, all services. Relies on: SIGINT or SIGTERM to begin the stop.
+/// owned backend servers are handed over, then farewell; k_stop_limit at most.
+/// Owns: the control thread's I/O context and, through the kernel, all services.
+/// Relies on: SIGINT or SIGTERM to begin the stop.
 #pragma once
 
 #include "kernel_p.h"
--- a/src/ownership_p.h
+++ b/src/ownership_p.h
@@ -4,18 +4,19 @@
 /// @file
 /// Ownership of backend servers: the rules, as pure functions on records.
 ///
-/// An owner is the only entry VM that sends new work to a backend server, so its count of running requests is
-/// exact.
+/// An owner is the only entry VM that sends new work to a backend server, so its count of running requests
+/// is exact.
 /// Decides: the wanted division (plan_owners, rendezvous hashing), and what this entry VM may change in a
 /// record (next_owners): take what nobody holds, take what was held by an entry VM that is gone or by a
 /// former life of its own, and release what it is to give up once nothing runs there. Silence or a lapsed
-/// time alone never takes a backend server from its holder. Owns: no state. The records live in the store,
-/// one for each failure domain and service, changed by compare-and-swap (control_owners); each node keeps a
-/// copy, so an outage of the store changes no owner. Relies on: the store's list of VMs for who is gone;
-/// membership for who answers; the gate for what runs; clocks that differ by no more than k_clock_skew, for
-/// full_until only. Units: wall times in microseconds since 1970; counts are requests. Reasons and figures:
-/// docs/DESIGN.md (Owners), docs/MEASUREMENTS.md (rows crash_entry, paused_holder, platform_outage,
-/// cut_domain).
+/// time alone never takes a backend server from its holder.
+/// Owns: no state. The records live in the store, one for each failure domain and service, changed by
+/// compare-and-swap (control_owners); each node keeps a copy, so an outage of the store changes no owner.
+/// Relies on: the store's list of VMs for who is gone; membership for who answers; the gate for what runs;
+/// clocks that differ by no more than k_clock_skew, for full_until only.
+/// Units: wall times in microseconds since 1970; counts are requests.
+/// Reasons and figures: docs/DESIGN.md (Owners), docs/MEASUREMENTS.md (rows crash_entry, paused_holder,
+/// platform_outage, cut_domain).
 #pragma once
 
 #include "clock_p.h"
--- a/src/peers_p.h
+++ b/src/peers_p.h
@@ -4,10 +4,11 @@
 /// @file
 /// Transport of control messages between entry VMs.
 ///
-/// Decides: who may connect (signed handshake, same protocol version) and when a peer is too slow to be kept.
+/// Decides: who may connect (signed handshake, same protocol version) and when a peer is too slow to be
+/// kept.
 /// Owns: one outgoing connection to each peer that was sent to, and counters of its traffic. All of it is
-/// lost with the process and built again by the next message. Relies on: membership and anti-entropy to
-/// repeat news that were lost; it never sends a message twice.
+/// lost with the process and built again by the next message.
+/// Relies on: membership and anti-entropy to repeat news that were lost; it never sends a message twice.
 #pragma once
 
 #include "clock_p.h"
--- a/src/policy_p.h
+++ b/src/policy_p.h
@@ -5,8 +5,8 @@
 /// The operators' resources as typed, immutable tables (policy), built from the agreed configuration.
 ///
 /// Decides: whether a configuration is valid. One mistake refuses the whole, and all mistakes are reported.
-/// Owns: nothing that changes. A policy is shared by all threads; handles index the tables of one policy and
-/// mean nothing in another.
+/// Owns: nothing that changes. A policy is shared by all threads; handles index the tables of one policy
+/// and mean nothing in another.
 /// Relies on: schema for the form of each resource; prefix match of client blocks (prefix_table).
 /// Units: shares, demands and max_share from 0 to 1; slots and connections are counts; times as their types
 /// say. Cost of building with up to 1.1 million client blocks: docs/CAPACITY.md.
--- a/src/record_replica_p.h
+++ b/src/record_replica_p.h
@@ -6,7 +6,8 @@
 ///
 /// Decides: whether a record that the store or a peer tells replaces the copy; only a higher sequence does.
 /// Owns: the copies, and a digest of their keys and sequences that heartbeats compare (anti-entropy). In
-/// memory only: filled anew from the store or a peer. During an outage of the store the copies stay in force.
+/// memory only: filled anew from the store or a peer. During an outage of the store the copies stay in
+/// force.
 /// Relies on: writers that raise the sequence by compare-and-swap (platform_sync::update_record).
 #pragma once
 
--- a/src/retry_budget_p.h
+++ b/src/retry_budget_p.h
@@ -5,9 +5,10 @@
 /// Retry budget of one larkrackd: a token bucket that first tries fill.
 ///
 /// Decides: whether a retry may be made. It bounds what retries add to the load while backend servers are
-/// slow. Owns: the tokens, shared by the traffic threads of one process. Unlike windowed_retry_budget of
-/// larkrack-edge (rate_limits_p.h), which keeps a ratio that operators set within a sliding window, this one
-/// has fixed figures, and its burst is saved up without a time limit.
+/// slow.
+/// Owns: the tokens, shared by the traffic threads of one process. Unlike windowed_retry_budget of
+/// larkrack-edge (rate_limits_p.h), which keeps a ratio that operators set within a sliding window, this
+/// one has fixed figures, and its burst is saved up without a time limit.
 #pragma once
 
 #include "larkrack/config.h"
--- a/src/shift_p.h
+++ b/src/shift_p.h
@@ -5,12 +5,12 @@
 /// Shifts: moving a service's shares in steps from those in force to those that the operators declared.
 ///
 /// Decides: the goal of a shift (goal_shares), whether the next step must wait (waits_for), and the window
-/// that limiters use (limiter_window). Pure functions; control_shifts drives them under a lease. Owns: no
-/// state. The step in force is a record in the store (step_record), changed by compare-and-swap; each node
-/// keeps a copy, so a shift goes on from there when a driver or the store comes back. Relies on: mix for the
-/// rate limit, policy for declared shares, cap and window. Units: shares from 0 to 1; windows in
-/// microseconds; room in slots. Reasons and figures: docs/DESIGN.md (Shifts), docs/MEASUREMENTS.md (row
-/// shift).
+/// that limiters use (limiter_window). Pure functions; control_shifts drives them under a lease.
+/// Owns: no state. The step in force is a record in the store (step_record), changed by compare-and-swap;
+/// each node keeps a copy, so a shift goes on from there when a driver or the store comes back.
+/// Relies on: mix for the rate limit, policy for declared shares, cap and window.
+/// Units: shares from 0 to 1; windows in microseconds; room in slots.
+/// Reasons and figures: docs/DESIGN.md (Shifts), docs/MEASUREMENTS.md (row shift).
 #pragma once
 
 #include "mix_p.h"
--- a/src/store_p.h
+++ b/src/store_p.h
@@ -4,7 +4,8 @@
 /// @file
 /// Client of the key-value store: reads, compare-and-swap transactions, leases, watches.
 ///
-/// Decides: what is known after a call (call_status): a lost answer to a write is `unsure`, never `not_done`.
+/// Decides: what is known after a call (call_status): a lost answer to a write is `unsure`, never
+/// `not_done`.
 /// Owns: its connections and a count of calls by use. It neither repeats calls nor backs off: callers do.
 /// Relies on: a store that gives each write one revision which only grows, and that answers within
 /// k_platform_deadline.
--- a/src/tracer_p.h
+++ b/src/tracer_p.h
@@ -6,10 +6,10 @@
 /// collector.
 ///
 /// Decides: which requests are traced: those whose caller sampled them, and a drawn part (trace_share, 0 to
-/// 1) of those without a trace. Owns: a bounded queue of finished spans. A full queue drops spans and counts
-/// them (event trace_dropped); an export that fails loses its spans, because traces must never hold up
-/// traffic. Relies on: settings for file or collector. Times in microseconds since 1970, nanoseconds on the
-/// wire.
+/// 1) of those without a trace.
+/// Owns: a bounded queue of finished spans. A full queue drops spans and counts them (event trace_dropped);
+/// an export that fails loses its spans, because traces must never hold up traffic.
+/// Relies on: settings for file or collector. Times in microseconds since 1970, nanoseconds on the wire.
 #pragma once
 
 #include "kernel_p.h"
--- a/src/traffic_p.h
+++ b/src/traffic_p.h
@@ -5,9 +5,9 @@
 /// Traffic threads: each with its own listeners, connections and carrier.
 ///
 /// For: carrying requests without sharing connections between threads; what must be exact (gate, key_table)
-/// is shared behind short locks, the control state is read from snapshots (traffic_view). Owns: the threads,
-/// their I/O contexts and connections, and one retry budget for all of them. Relies on: node for the order of
-/// a planned stop (begin_stop, stop_accepting, shutdown).
+/// is shared behind short locks, the control state is read from snapshots (traffic_view).
+/// Owns: the threads, their I/O contexts and connections, and one retry budget for all of them.
+/// Relies on: node for the order of a planned stop (begin_stop, stop_accepting, shutdown).
 #pragma once
 
 #include "carrier_p.h"
--- a/src/traffic_view_p.h
+++ b/src/traffic_view_p.h
@@ -4,7 +4,8 @@
 /// @file
 /// What traffic threads see of the control state: one immutable snapshot, swapped by pointer.
 ///
-/// For: a request is handled under one consistent state, and no traffic thread waits for the control thread.
+/// For: a request is handled under one consistent state, and no traffic thread waits for the control
+/// thread.
 /// Owns: view_publisher holds the newest snapshot; a request keeps the one it began with alive.
 /// Relies on: control, which publishes several times in a heartbeat interval and after each change.
 #pragma once
