--- a/include/larkrack/config.h
+++ b/include/larkrack/config.h
@@ -77,8 +77,8 @@
 /// Bytes of an answer that an entry VM reads ahead of a slow caller, so that the backend server's slot is
 /// free before the caller has read all (docs/MEASUREMENTS.md, drain_backend).
 constexpr std::size_t k_read_ahead = 8ULL * 1024 * 1024;
-/// Bytes that all answers in one traffic thread may hold in read-ahead. More frees slots for more slow callers
-/// at once and costs this memory for each thread. Not measured.
+/// Bytes that all answers in one traffic thread may hold in read-ahead. More frees slots for more slow
+/// callers at once and costs this memory for each thread. Not measured.
 constexpr std::size_t k_read_ahead_total = 96ULL * 1024 * 1024;
 /// Bytes of one piece of a streamed body. Larger costs memory for each streamed answer and saves calls. Not
 /// measured.
--- a/src/peers_websocket.cpp
+++ b/src/peers_websocket.cpp
@@ -255,6 +255,7 @@
 		if (k_send_limit < _to.connection->get_buffered_amount() + _bytes.size())
 		{
 			log_event(event::peer_slow, {{"peer", _vm}});
+			// Closed already is as good: its close handler removes the link.
 			ws::lib::error_code ignored;
 			_to.connection->terminate(ignored);
 			return;
--- a/src/store_http.cpp
+++ b/src/store_http.cpp
@@ -214,6 +214,7 @@
 		std::size_t end = text.find('\n');
 		while (std::string::npos != end)
 		{
+			// A line that is no answer ends the watch; the caller then goes on from its last revision.
 			const nlohmann::json line = nlohmann::json::parse(text.substr(0, end), nullptr, false);
 			text.erase(0, end + 1);
 			if (line.is_discarded() || !line.contains("result"))
