--- a/include/larkrack/config.h
+++ b/include/larkrack/config.h
@@ -51,7 +51,7 @@
 /// Longest time a request may occupy a slot of a backend server, unless its service says otherwise. A new
 /// owner counts all slots as full for this long and k_clock_skew. Not measured.
 constexpr std::chrono::milliseconds k_default_run_limit{2000};
-/// Difference of clocks that is assumed between any two machines. Larger keeps slots of a former owner taken
+/// Difference of clocks that is assumed between any two VMs. Larger keeps slots of a former owner taken
 /// for longer, smaller risks runs above the slots. Not measured.
 constexpr std::chrono::milliseconds k_clock_skew{100};
 /// A gap between two ticks of the control thread from this on counts as a pause of the process: others may
--- a/src/clock_p.h
+++ b/src/clock_p.h
@@ -4,8 +4,8 @@
 /// @file
 /// Time, behind an interface, so that decisions can be tested on a virtual clock.
 ///
-/// For: steady_time for intervals and timers, wall_time for what other machines see. All in microseconds.
-/// Relies on: wall clocks of machines that differ by no more than k_clock_skew.
+/// For: steady_time for intervals and timers, wall_time for what other VMs see. All in microseconds.
+/// Relies on: wall clocks of VMs that differ by no more than k_clock_skew.
 #pragma once
 
 #include "kernel_p.h"
--- a/src/log_p.h
+++ b/src/log_p.h
@@ -6,7 +6,7 @@
 ///
 /// Owns: the node's name and the place of the log, set once by log_init.
 /// Relies on: events_p.h for numbers, names and severities. A write may wait for the file or the reader of
-/// standard output. edge_log of larkrack-edge never waits: its one thread carries all traffic, so it drops
+/// standard output. The log of larkrack-edge never waits: one thread carries all traffic there, so it drops
 /// lines and counts them, and it builds lines without a JSON document or a library to save memory
 /// (docs/PLATFORM.md).
 #pragma once
--- a/src/settings_p.h
+++ b/src/settings_p.h
@@ -5,8 +5,8 @@
 /// Settings of larkrackd, read from JSON and checked by schema; and addresses of the form IP:port.
 ///
 /// Owns: the settings of this process, read once at its start.
-/// Relies on: schema_settings for form and defaults that people see. edge_settings of larkrack-edge shares
-/// the schema check and endpoint only: it has other fields and is read again while the process lives.
+/// Relies on: schema_settings for form and defaults. The settings of larkrack-edge share the schema check and
+/// endpoint only: they have other fields and are read again while the process lives.
 #pragma once
 
 #include "kernel_p.h"
