--- a/src/carrier.cpp
+++ b/src/carrier.cpp
@@ -77,7 +77,7 @@
 }
 } // namespace
 
-carrier::carrier(asio::io_context& _context, const kernel& _kernel, retry_budget& _budget)
+carrier::carrier(asio::io_context& _context, const kernel& _kernel, retry_token_bucket& _budget)
     : m_context(_context), m_settings(_kernel.find<settings_service>("settings")->get()),
       m_clock(*_kernel.find<clock_base>("clock")), m_gate(*_kernel.find<gate>("gate")),
       m_keys(*_kernel.find<key_table>("key_table")), m_board(*_kernel.find<view_publisher>("view_publisher")),
--- a/src/carrier_p.h
+++ b/src/carrier_p.h
@@ -12,7 +12,7 @@
 #include "key_table_p.h"
 #include "lookup_p.h"
 #include "metrics_p.h"
-#include "retry_budget_p.h"
+#include "retry_token_bucket_p.h"
 #include "tracer_p.h"
 #include "traffic_view_p.h"
 
@@ -68,7 +68,7 @@
 class carrier
 {
 public:
-	carrier(asio::io_context& _context, const kernel& _kernel, retry_budget& _budget);
+	carrier(asio::io_context& _context, const kernel& _kernel, retry_token_bucket& _budget);
 
 	/// Serves a request from a caller.
 	void handle_caller(http_session& _session, http_request& _request, const yield_context& _yield);
@@ -137,7 +137,7 @@
 	view_publisher& m_board;
 	metrics& m_metrics;
 	const tracer_otlp& m_tracer;
-	retry_budget& m_budget;
+	retry_token_bucket& m_budget;
 	signer m_signer;
 	connection_pool m_pool;
 	std::mt19937_64 m_random;
--- a/src/retry_budget_p.h
+++ b/src/retry_token_bucket_p.h
@@ -2,13 +2,13 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Retry budget of one larkrackd: a token bucket that first tries fill.
+/// Token bucket that bounds the retries of one larkrackd; first tries fill it.
 ///
 /// Decides: whether a retry may be made. It bounds what retries add to the load while backend servers are
 /// slow.
-/// Owns: the tokens, shared by the traffic threads of one process. Unlike windowed_retry_budget of
-/// larkrack-edge (rate_limits_p.h), which keeps a ratio that operators set within a sliding window, this
-/// one has fixed figures, and its burst is saved up without a time limit.
+/// Owns: the tokens, shared by the traffic threads of one process.
+/// The retry budget of larkrack-edge differs: it keeps a ratio that operators set within a sliding window.
+/// This one has fixed figures (larkrack/config.h), and its burst is saved up without a time limit.
 #pragma once
 
 #include "larkrack/config.h"
@@ -19,12 +19,12 @@
 namespace larkrack
 {
 /// Thread-safe. Each first try adds a part of a token; a retry takes a whole one.
-class retry_budget
+class retry_token_bucket
 {
 public:
 	/// @param[in] _share Tokens for each first try, 0 to 1.
 	/// @param[in] _burst Tokens that may be saved up; the bucket starts full.
-	explicit retry_budget(double _share = k_retry_share, double _burst = k_retry_burst)
+	explicit retry_token_bucket(double _share = k_retry_share, double _burst = k_retry_burst)
 	    : m_share(_share), m_burst(_burst), m_saved(_burst)
 	{
 	}
--- a/src/traffic.cpp
+++ b/src/traffic.cpp
@@ -7,7 +7,7 @@
 
 namespace larkrack
 {
-traffic::worker::worker(const kernel& _kernel, retry_budget& _budget)
+traffic::worker::worker(const kernel& _kernel, retry_token_bucket& _budget)
     : carry(context, _kernel, _budget),
       callers(context,
           [this](http_session& _session, http_request& _request, const yield_context& _yield)
--- a/src/traffic_p.h
+++ b/src/traffic_p.h
@@ -39,7 +39,7 @@
 	/// One traffic thread.
 	struct worker
 	{
-		worker(const kernel& _kernel, retry_budget& _budget);
+		worker(const kernel& _kernel, retry_token_bucket& _budget);
 		asio::io_context context{1};
 		carrier carry;
 		http_server callers;
@@ -51,7 +51,7 @@
 	/// Takes a step of the planned stop in each thread.
 	void post_to_servers(void (http_server::*_step)());
 
-	retry_budget m_budget;
+	retry_token_bucket m_budget;
 	std::vector<std::unique_ptr<worker>> m_workers;
 };
 } // namespace larkrack
--- a/tests/carrier_test.cpp
+++ b/tests/carrier_test.cpp
@@ -69,7 +69,7 @@
 			return *services.find<gate>("gate");
 		}
 		kernel services;
-		retry_budget budget;
+		retry_token_bucket budget;
 		std::unique_ptr<carrier> carry;
 		std::unique_ptr<http_server> callers;
 		std::unique_ptr<http_server> relays;
