--- a/src/edge/forwarded_request.cpp
+++ b/src/edge/forwarded_request.cpp
@@ -4,9 +4,9 @@
 #include "forwarded_request_p.h"
 
 #include "header_rules_p.h"
+#include "request_times_p.h"
 
 #include <algorithm>
-#include <charconv>
 #include <cstdio>
 
 #define XXH_INLINE_ALL
@@ -18,31 +18,10 @@
 {
 /// Weight of the newest exchange in the mean service time.
 constexpr double k_service_time_weight = 0.05;
-/// Deadline when neither the caller nor the route names one.
-constexpr std::chrono::milliseconds k_default_timeout{30000};
 /// Part of the objective for which a request waits for a free slot before it is refused.
 constexpr double k_wait_part = 0.2;
 /// Wait when the route names no objective.
 constexpr std::chrono::milliseconds k_wait_default{100};
-/// Attempts without a connection that one request makes.
-constexpr int k_unsent_limit = 3;
-/// Longest time for a connection to come up, within the region and to another one.
-constexpr std::chrono::milliseconds k_connect_near{300};
-constexpr std::chrono::milliseconds k_connect_far{500};
-/// A refused caller comes back after a time between these.
-constexpr double k_retry_after_first_s = 0.1;
-constexpr double k_retry_after_last_s = 0.3;
-
-std::chrono::milliseconds stated_timeout(std::string_view _value)
-{
-	long long ms = 0;
-	const auto read = std::from_chars(_value.data(), _value.data() + _value.size(), ms);
-	if (read.ec != std::errc() || ms < 0)
-	{
-		return k_default_timeout;
-	}
-	return std::chrono::milliseconds(std::min<long long>(ms, 3600LL * 1000));
-}
 
 /// @returns Place of a key in [0, 1); a request without one has any.
 double position_of(std::uint64_t _affinity, std::minstd_rand& _random)
@@ -55,6 +34,22 @@
 	return static_cast<double>(hash >> 11U) / static_cast<double>(1ULL << 53U);
 }
 
+attempt_end end_of(const exchange_result& _result)
+{
+	switch (_result.end)
+	{
+	case exchange_outcome::answered:
+		return end_of_answer(_result.response->result_int());
+	case exchange_outcome::not_run:
+		return attempt_end::not_run;
+	case exchange_outcome::not_sent:
+		return attempt_end::not_sent;
+	case exchange_outcome::lost:
+		break;
+	}
+	return attempt_end::lost;
+}
+
 std::chrono::milliseconds to_ms(steady_time::duration _time)
 {
 	return std::chrono::duration_cast<std::chrono::milliseconds>(_time);
@@ -92,7 +87,7 @@
 	m_route = m_routes->find(host, target);
 	if (nullptr == m_route)
 	{
-		end_with(http::status::not_found, outcome::not_run, reason::unknown_service);
+		answer(caller_response(http::status::not_found, 11), outcome::not_run, reason::unknown_service);
 		return;
 	}
 	admit();
@@ -101,13 +96,12 @@
 void forwarded_request::admit()
 {
 	const auto stated = m_request.find(m_forwarder.m_names.timeout_ms);
-	std::chrono::milliseconds timeout =
-	    m_request.end() == stated ? k_default_timeout
-	                              : stated_timeout({stated->value().data(), stated->value().size()});
-	if (m_route->timeout.count() > 0)
+	std::optional<std::string_view> stated_ms;
+	if (m_request.end() != stated)
 	{
-		timeout = std::min(timeout, m_route->timeout);
+		stated_ms.emplace(stated->value().data(), stated->value().size());
 	}
+	const std::chrono::milliseconds timeout = request_timeout(stated_ms, m_route->timeout);
 	m_deadline = m_arrived_at + timeout;
 	m_service = choose_service();
 	m_affinity = affinity_of_request();
@@ -357,8 +351,7 @@
 	m_tried.push_back(_backend->registered.id.text);
 	m_sent_at = m_forwarder.m_clock.steady();
 	++m_forwarder.m_counters.attempts;
-	const auto connect =
-	    _backend->region.text == m_forwarder.m_placement.region ? k_connect_near : k_connect_far;
+	const auto connect = connect_timeout(_backend->region.text == m_forwarder.m_placement.region);
 	m_exchange = std::make_shared<upstream_exchange>(m_forwarder.m_context, m_forwarder.m_clock,
 	    m_forwarder.m_names, _backend, std::move(request), connect,
 	    [self = shared_from_this()](exchange_result&& _result)
@@ -390,89 +383,55 @@
 		                            .decimal("busy", backend->estimated_load(m_forwarder.m_clock.steady()))
 		                            .number("ms", to_ms(m_forwarder.m_clock.steady() - m_sent_at).count()));
 	}
-	switch (_result.end)
-	{
-	case exchange_outcome::answered:
+	const attempt_end end = end_of(_result);
+	if (exchange_outcome::answered == _result.end)
 	{
-		++m_attempts;
 		forwarder::service_state& state = m_forwarder.state_of(m_service);
 		const double took = std::chrono::duration<double>(m_forwarder.m_clock.steady() - m_sent_at).count();
 		state.service_time_s += k_service_time_weight * (took - state.service_time_s);
-		const bool failed = _result.response->result_int() >= 500;
-		if (failed && repeat_rule::repeatable == m_route->repeat)
-		{
-			m_may_have_run = true;
-			m_fallback = std::move(_result.response);
-			retry_or_end(http::status::bad_gateway, reason::none);
-			break;
-		}
-		answer(std::move(*_result.response), outcome::served, reason::none);
-		break;
-	}
-	case exchange_outcome::not_run:
-		++m_attempts;
-		retry_or_end(http::status::service_unavailable, reason::shed);
-		break;
-	case exchange_outcome::not_sent:
-		++m_unsent;
-		if (m_unsent < k_unsent_limit && try_send())
-		{
-			break;
-		}
-		retry_or_end(http::status::service_unavailable, reason::unreachable);
-		break;
-	case exchange_outcome::lost:
-		++m_attempts;
-		m_may_have_run = true;
-		if (repeat_rule::at_most_once == m_route->repeat)
-		{
-			end_with(http::status::bad_gateway, outcome::unknown, reason::lost_answer);
-			break;
-		}
-		retry_or_end(http::status::bad_gateway, reason::lost_answer);
-		break;
 	}
+	follow(rule_after(end, m_route->repeat), std::move(_result));
 	m_forwarder.pump();
 }
 
-bool forwarded_request::may_repeat()
+void forwarded_request::follow(const attempt_rule& _rule, exchange_result&& _result)
 {
-	if (m_attempts >= m_route->max_attempts || m_forwarder.m_clock.steady() >= m_deadline)
+	m_history.count(_rule);
+	if (_rule.pass_answer_on)
 	{
-		return false;
+		answer(std::move(*_result.response), outcome::served, reason::none);
+		return;
 	}
-	if (0 == m_attempts)
+	if (_rule.keep_answer)
 	{
-		return m_unsent < k_unsent_limit;
+		m_kept_answer = std::move(_result.response);
 	}
-	if (!m_forwarder.state_of(m_service).retries.spend(m_forwarder.m_clock.steady()))
+	if (may_resend_free(_rule, m_history) && try_send())
 	{
-		++m_forwarder.m_counters.retries_denied;
-		return false;
+		return;
 	}
-	m_forwarder.m_metrics.count_retry();
-	return true;
-}
-
-void forwarded_request::retry_or_end(http::status _status, reason _reason)
-{
-	// A request that nobody took may wait for its turn like a new one; others must not wait twice.
-	if (may_repeat() && try_send())
+	if (resend_price::never != _rule.price && pay_for_resend() && try_send())
 	{
 		return;
 	}
-	if (m_fallback)
+	end_with(answer_without_resend(m_history, _rule.why));
+}
+
+bool forwarded_request::pay_for_resend()
+{
+	const steady_time now = m_forwarder.m_clock.steady();
+	const resend decision = may_resend(m_history, m_route->max_attempts, now, m_deadline);
+	if (resend::within_budget != decision)
 	{
-		answer(std::move(*m_fallback), outcome::served, reason::none);
-		return;
+		return resend::free == decision;
 	}
-	if (m_may_have_run)
+	if (!m_forwarder.state_of(m_service).retries.spend(now))
 	{
-		end_with(http::status::service_unavailable == _status ? http::status::bad_gateway : _status,
-		    outcome::unknown, _reason);
-		return;
+		++m_forwarder.m_counters.retries_denied;
+		return false;
 	}
-	refuse(_reason);
+	m_forwarder.m_metrics.count_retry();
+	return true;
 }
 
 void forwarded_request::on_deadline()
@@ -481,13 +440,7 @@
 	{
 		return;
 	}
-	const bool sent = m_exchange && m_exchange->sent();
-	if (sent || m_may_have_run)
-	{
-		end_with(http::status::gateway_timeout, outcome::unknown, reason::deadline);
-		return;
-	}
-	refuse(reason::deadline);
+	end_with(answer_at_deadline(m_history, m_exchange && m_exchange->sent()));
 }
 
 void forwarded_request::on_caller_left()
@@ -501,21 +454,30 @@
 	forget();
 }
 
+void forwarded_request::end_with(const final_answer& _end)
+{
+	if (_end.kept_answer)
+	{
+		answer(std::move(*m_kept_answer), _end.end, _end.why);
+		return;
+	}
+	if (outcome::unknown == _end.end)
+	{
+		answer(caller_response(static_cast<http::status>(_end.status), 11), _end.end, _end.why);
+		return;
+	}
+	refuse(_end.why);
+}
+
 void forwarded_request::refuse(reason _reason)
 {
-	caller_response response(http::status::service_unavailable, 11);
-	std::uniform_real_distribution<double> pause(k_retry_after_first_s, k_retry_after_last_s);
+	caller_response response(static_cast<http::status>(k_status_refused), 11);
 	char text[16];
-	std::snprintf(text, sizeof(text), "%.2f", pause(m_forwarder.m_random));
+	std::snprintf(text, sizeof(text), "%.2f", retry_after_s(m_forwarder.m_random));
 	response.set(http::field::retry_after, text);
 	answer(std::move(response), outcome::not_run, _reason);
 }
 
-void forwarded_request::end_with(http::status _status, outcome _outcome, reason _reason)
-{
-	answer(caller_response(_status, 11), _outcome, _reason);
-}
-
 void forwarded_request::answer(caller_response&& _response, outcome _outcome, reason _reason)
 {
 	strip_hop_by_hop(_response);
@@ -545,8 +507,8 @@
 	        .text("reason", to_string(_reason))
 	        .text("region", m_region)
 	        .text("backend", m_tried.empty() ? "" : m_tried.back())
-	        .number("attempts", m_attempts)
-	        .number("unsent", m_unsent)
+	        .number("attempts", m_history.reached)
+	        .number("unsent", m_history.unsent)
 	        .number("ms", to_ms(m_forwarder.m_clock.steady() - m_arrived_at).count()));
 }
 
--- a/src/edge/forwarded_request_p.h
+++ b/src/edge/forwarded_request_p.h
@@ -5,6 +5,7 @@
 /// One request of a caller on its way to a final answer.
 #pragma once
 
+#include "attempt_rules_p.h"
 #include "forwarder_p.h"
 
 namespace larkrack
@@ -30,10 +31,10 @@
 	void on_deadline();
 	void on_caller_left();
 	void on_result(exchange_result&& _result);
-	/// @returns Whether another attempt may follow one that reached a backend server.
-	bool may_repeat();
-	/// Makes another attempt at once, or ends with the best answer that there is.
-	void retry_or_end(http::status _status, reason _reason);
+	/// Does what the rule for the end of an attempt says.
+	void follow(const attempt_rule& _rule, exchange_result&& _result);
+	/// @returns Whether another attempt may be made; the retry budget pays for it where it must.
+	bool pay_for_resend();
 
 	std::string choose_service();
 	/// @returns Hash of what a backend server remembers: an object on a route; 0 when there is none.
@@ -51,7 +52,7 @@
 
 	void answer(caller_response&& _response, outcome _outcome, reason _reason);
 	void refuse(reason _reason);
-	void end_with(http::status _status, outcome _outcome, reason _reason);
+	void end_with(const final_answer& _end);
 	void log_end(unsigned _status, outcome _outcome, reason _reason);
 	void forget();
 
@@ -71,12 +72,10 @@
 	asio::steady_timer m_deadline_timer;
 	asio::steady_timer m_wait_timer;
 	std::shared_ptr<upstream_exchange> m_exchange;
-	std::optional<caller_response>
-	    m_fallback; ///< Failure of a backend server, in case no other attempt does better.
+	/// Failure of a backend server, in case no other attempt does better.
+	std::optional<caller_response> m_kept_answer;
 	std::vector<std::string> m_tried;
-	int m_attempts = 0; ///< Attempts that reached a backend server.
-	int m_unsent = 0;   ///< Attempts that did not.
-	bool m_may_have_run = false;
+	attempt_history m_history;
 	bool m_waiting = false;
 	bool m_ended = false;
 };
--- /dev/null
+++ b/src/steering/request_times.cpp
@@ -0,0 +1,41 @@
+// Copyright 2026 the larkrack developers. All rights reserved.
+// License: BSD 2-Clause, see LICENSE.
+
+#include "request_times_p.h"
+
+#include <algorithm>
+#include <charconv>
+
+namespace larkrack
+{
+namespace
+{
+std::chrono::milliseconds stated_timeout(std::string_view _text)
+{
+	std::int64_t ms = 0;
+	const auto read = std::from_chars(_text.data(), _text.data() + _text.size(), ms);
+	if (read.ec != std::errc() || ms < 0)
+	{
+		return k_default_timeout;
+	}
+	return std::min(std::chrono::milliseconds(ms), k_longest_stated_timeout);
+}
+} // namespace
+
+std::chrono::milliseconds request_timeout(
+    std::optional<std::string_view> _stated, std::chrono::milliseconds _of_route)
+{
+	const std::chrono::milliseconds timeout = _stated ? stated_timeout(*_stated) : k_default_timeout;
+	return _of_route.count() > 0 ? std::min(timeout, _of_route) : timeout;
+}
+
+std::chrono::milliseconds connect_timeout(bool _same_region)
+{
+	return _same_region ? k_connect_near : k_connect_far;
+}
+
+double retry_after_s(std::minstd_rand& _random)
+{
+	return std::uniform_real_distribution<double>(k_retry_after_first_s, k_retry_after_last_s)(_random);
+}
+} // namespace larkrack
--- /dev/null
+++ b/src/steering/request_times_p.h
@@ -0,0 +1,51 @@
+// Copyright 2026 the larkrack developers. All rights reserved.
+// License: BSD 2-Clause, see LICENSE.
+
+/// @file
+/// Times of one request: its deadline, how long a connection may take, and when a refused caller comes back.
+///
+/// Decides three times. Inputs: the timeout that the caller states (milliseconds, as text of a header), the
+/// route's timeout (milliseconds), and whether the backend server is in this node's region.
+///
+/// Rule: the deadline is the arrival plus the smaller of the stated timeout (or the default) and the route's.
+/// What the deadline does to a request that was sent, and to one that was not, stands in attempt_rules_p.h
+/// (answer_at_deadline). A connection gets a short time within the region and a longer one to another region.
+/// Refused callers come back after a random time, so that they do not return all at once.
+///
+/// Other ways: none was measured.
+///
+/// Relies on the caller's clock for nothing: a timeout is a length of time, not a point in time.
+#pragma once
+
+#include <chrono>
+#include <optional>
+#include <random>
+#include <string_view>
+
+namespace larkrack
+{
+/// Timeout when neither caller nor route names one, milliseconds. Longer holds memory for callers that are
+/// gone, shorter ends slow requests of callers that said nothing. Not measured.
+constexpr std::chrono::milliseconds k_default_timeout{30000};
+/// Longest timeout that a caller may state, milliseconds. Keeps the arithmetic of deadlines within bounds; a
+/// route's own timeout is nearly always shorter. Not measured.
+constexpr std::chrono::milliseconds k_longest_stated_timeout{3600000};
+/// Longest time for a new connection, milliseconds, within the region and to another one. Longer waits for
+/// backend servers that are gone, shorter gives up slow but healthy ones. Not measured.
+constexpr std::chrono::milliseconds k_connect_near{300};
+constexpr std::chrono::milliseconds k_connect_far{500};
+/// A refused caller comes back after a time between these, seconds. Sooner repeats the overload, later leaves
+/// freed slots unused. Not measured.
+constexpr double k_retry_after_first_s = 0.1;
+constexpr double k_retry_after_last_s = 0.3;
+
+/// @param[in] _stated Text of the caller's header; nothing when it has none. A text that is no number counts
+/// as the default.
+/// @param[in] _of_route Timeout of the route; 0: none.
+std::chrono::milliseconds request_timeout(
+    std::optional<std::string_view> _stated, std::chrono::milliseconds _of_route);
+/// @param[in] _same_region Whether the backend server is in this node's region.
+std::chrono::milliseconds connect_timeout(bool _same_region);
+/// @returns Seconds after which a refused caller may come back.
+double retry_after_s(std::minstd_rand& _random);
+} // namespace larkrack
