--- a/src/edge/state_replica.cpp
+++ b/src/edge/state_replica.cpp
@@ -10,15 +10,8 @@
 {
 namespace
 {
-/// A backend server whose entry vanished serves on for a while; it gets new requests for so long.
-constexpr std::chrono::milliseconds k_removal_delay{500};
-/// The same while the store is away; an entry that lapsed meanwhile says nothing of its owner.
-constexpr std::chrono::milliseconds k_removal_delay_outage{6000};
-/// An owner that lives has its lapsed entry back so soon after the store's return.
-constexpr std::chrono::milliseconds k_lapse_repair{2000};
-/// No entry lapses in a shorter outage.
-constexpr std::chrono::milliseconds k_harmless_outage{1000};
-/// Deletes that are remembered for other nodes.
+/// Deletes that are remembered for other nodes, as a number. More: memory. Fewer: a node that was away for
+/// long is told all keys instead of changes. Not measured.
 constexpr std::size_t k_known_deletes = 256;
 } // namespace
 
@@ -29,37 +22,6 @@
 {
 }
 
-void state_replica::store_lost()
-{
-	if (m_lost_at && !m_lapses_until)
-	{
-		return;
-	}
-	m_lost_at = m_clock.steady();
-	m_lapses_until.reset();
-}
-
-void state_replica::store_regained()
-{
-	if (!m_lost_at || m_lapses_until)
-	{
-		return;
-	}
-	const steady_time now = m_clock.steady();
-	m_lapses_until = now - *m_lost_at < k_harmless_outage ? now : now + k_lapse_repair;
-}
-
-steady_time state_replica::removal_due(steady_time _vanished_at) const
-{
-	const steady_time due = _vanished_at + k_removal_delay;
-	if (!m_lost_at || _vanished_at < *m_lost_at)
-	{
-		return due;
-	}
-	const steady_time latest = _vanished_at + k_removal_delay_outage;
-	return m_lapses_until ? std::max(due, std::min(latest, *m_lapses_until)) : latest;
-}
-
 void state_replica::replace(const std::vector<store_value>& _values, std::int64_t _revision)
 {
 	std::set<std::string> present;
@@ -166,7 +128,7 @@
 	}
 	const auto it = m_values.find(_value.key);
 	const bool returned = record_kind::backend == m_codec.kind_of(_value.key) &&
-	                      m_vanished.erase(m_codec.name_of(_value.key)) > 0;
+	                      m_vanished.erase(backend_id(m_codec.name_of(_value.key))) > 0;
 	if (m_values.end() != it && it->second.mod_revision >= _value.mod_revision && !returned)
 	{
 		return;
@@ -272,7 +234,7 @@
 	switch (m_codec.kind_of(_gone.key))
 	{
 	case record_kind::backend:
-		m_vanished[m_codec.name_of(_gone.key)] = m_clock.steady();
+		m_vanished[backend_id(m_codec.name_of(_gone.key))] = m_clock.steady();
 		break;
 	case record_kind::evacuation:
 		update_evacuations();
@@ -289,13 +251,13 @@
 	const steady_time now = m_clock.steady();
 	for (auto it = m_vanished.begin(); it != m_vanished.end();)
 	{
-		if (now < removal_due(it->second))
+		if (now < m_removal.plan(it->second).due)
 		{
 			++it;
 			continue;
 		}
-		m_log.write(log_line(event::backend_removed).text("backend", it->first));
-		m_backends.remove(backend_id(it->first));
+		m_log.write(log_line(event::backend_removed).text("backend", it->first.text));
+		m_backends.remove(it->first);
 		it = m_vanished.erase(it);
 	}
 }
--- a/src/edge/state_replica_p.h
+++ b/src/edge/state_replica_p.h
@@ -3,10 +3,15 @@
 
 /// @file
 /// This node's copy of the platform's keys: configuration, registry of backend servers, evacuations, nodes.
+///
+/// Owns the copy, the deletes that are remembered for other nodes, and the vanished entries. When these count
+/// as gone is decided in steering/entry_removal. Relies on store_sync and edge_node to hand in changes, and
+/// on edge_node to call tick().
 #pragma once
 
 #include "backend_registry_p.h"
 #include "edge_log_p.h"
+#include "entry_removal_p.h"
 #include "routing_table_p.h"
 
 #include "../store_p.h"
@@ -88,9 +93,15 @@
 	/// Removes what has been gone for long enough; call it at a steady interval.
 	void tick();
 	/// Says that the store does not answer: until it does, entries may lapse although their owners live.
-	void store_lost();
+	void store_lost()
+	{
+		m_removal.on_store_lost(m_clock.steady());
+	}
 	/// Says that the store answers again: owners that live write their lapsed entries again.
-	void store_regained();
+	void store_regained()
+	{
+		m_removal.on_store_regained(m_clock.steady());
+	}
 
 	std::int64_t revision() const
 	{
@@ -105,8 +116,6 @@
 	void put_routes(const store_value& _value);
 	void put_backend(const store_value& _value);
 	void update_evacuations();
-	/// @returns When a backend server whose entry vanished then is removed.
-	steady_time removal_due(steady_time _vanished_at) const;
 
 	const clock_base& m_clock;
 	const record_codec_base& m_codec;
@@ -115,16 +124,13 @@
 	routes_handler m_on_routes;
 	node_handler m_on_node;
 	std::map<std::string, store_value> m_values;
-	/// Backend servers whose entry vanished, by id, and when that was seen.
-	std::map<std::string, steady_time> m_vanished;
+	/// Backend servers whose entry vanished, and when that was seen.
+	std::map<backend_id, steady_time> m_vanished;
 	std::deque<store_delete> m_deletes; ///< The latest ones, as they came.
 	/// Revisions of the deletes in m_deletes: an older state of a key that comes late is not taken.
 	std::map<std::string, std::int64_t> m_deleted_at;
 	std::int64_t m_deletes_after = 0; ///< Deletes behind this revision are all known.
 	std::int64_t m_revision = 0;
-	/// Begin of the store's last outage, as this node saw it.
-	std::optional<steady_time> m_lost_at;
-	/// When entries that lapsed during that outage are back; nothing while the store is away.
-	std::optional<steady_time> m_lapses_until;
+	entry_removal m_removal;
 };
 } // namespace larkrack
