--- a/src/edge/edge_node.cpp
+++ b/src/edge/edge_node.cpp
@@ -3,6 +3,8 @@
 
 #include "edge_node_p.h"
 
+#include "planned_stop_p.h"
+
 #include "larkrack/config.h"
 
 #include <csignal>
@@ -14,21 +16,17 @@
 {
 namespace
 {
-/// Descriptors for files, the store, peers and the like.
+/// Descriptors for files, the store, peers and the like, as a number. More: fewer callers. Fewer: a node
+/// under load can not reach the store. Not measured.
 constexpr int k_reserved_descriptors = 260;
-/// Part of the descriptors that connections of callers may take; the rest is for backend servers.
+/// Part of the other descriptors that connections of callers may take; the rest is for backend servers.
+/// Higher: requests wait for connections to backend servers. Lower: callers are refused sooner. Not measured.
 constexpr double k_caller_descriptors = 0.6;
+/// Connections to each of the other listeners: readiness, look-ups, peers, metrics. More: memory under abuse.
+/// Fewer: look-ups of a large region are refused. Not measured.
 constexpr std::size_t k_other_connections = 256;
-/// Steps of a planned stop, from its beginning.
-constexpr std::chrono::milliseconds k_stop_step{100};
-constexpr std::chrono::milliseconds k_stop_close_idle{1500};
-/// Part of the grace after which no request is taken any more: it could not end in time.
-constexpr double k_stop_refuse_part = 0.45;
-constexpr std::chrono::milliseconds k_stop_earliest{2500};
-/// A node that had nothing to do for so long may end.
-constexpr std::chrono::milliseconds k_stop_quiet{500};
-/// Time that is left before the kill when a node ends in any case.
-constexpr std::chrono::milliseconds k_stop_margin{500};
+/// Least descriptors that are divided, however few the settings allow.
+constexpr int k_least_descriptors = 64;
 
 tcp::endpoint to_tcp(const endpoint& _endpoint)
 {
@@ -250,18 +248,19 @@
 
 void edge_node::stop_step()
 {
-	const auto passed = m_clock.steady() - m_stopping_since;
-	const bool quiet = 0 == m_callers.busy() && m_clock.steady() - m_last_busy >= k_stop_quiet;
-	if (passed >= k_stop_close_idle)
+	const steady_time now = m_clock.steady();
+	const stop_decision decision =
+	    plan_stop({now - m_stopping_since, m_settings.grace, m_callers.busy(), now - m_last_busy});
+	if (decision.close_idle)
 	{
 		m_callers.close_idle();
 	}
-	if (passed >= k_stop_refuse_part * m_settings.grace)
+	if (decision.refuse_new)
 	{
 		m_callers.stop_accepting();
 		m_forwarder.begin_stop();
 	}
-	if ((passed >= k_stop_earliest && quiet) || passed >= m_settings.grace - k_stop_margin)
+	if (decision.end)
 	{
 		m_callers.stop_accepting();
 		m_sync.end();
--- a/src/edge/store_sync.cpp
+++ b/src/edge/store_sync.cpp
@@ -3,26 +3,12 @@
 
 #include "store_sync_p.h"
 
-#include "larkrack/config.h"
+#include "store_pacing_p.h"
 
-#include <algorithm>
+#include "larkrack/config.h"
 
 namespace larkrack
 {
-namespace
-{
-/// First and last pause between two tries at the platform.
-constexpr std::chrono::milliseconds k_pause_first{100};
-constexpr std::chrono::milliseconds k_pause_last{800};
-/// Time between two looks whether this node has become a reader.
-constexpr std::chrono::milliseconds k_reader_check{200};
-/// Time to live of a node's registration.
-constexpr std::chrono::seconds k_registration_ttl{30};
-constexpr std::chrono::seconds k_registration_renewal{10};
-/// Time for which changes are collected behind a batch, so that many of them cost one call.
-constexpr std::chrono::milliseconds k_batch_pause{250};
-} // namespace
-
 store_sync::store_sync(asio::io_context& _context, const clock_base& _clock, store_base& _store,
     state_replica& _replica, const record_codec_base& _codec, store_sharing_base& _sharing, edge_log& _log,
     std::string _node, std::string _node_value)
@@ -81,10 +67,7 @@
 
 void store_sync::back_off(int _tries, const yield_context& _yield)
 {
-	const auto longest = std::min(k_pause_last, k_pause_first * (1 << std::min(_tries, 4)));
-	std::uniform_int_distribution<int> pause(
-	    static_cast<int>(longest.count()) / 2, static_cast<int>(longest.count()));
-	sleep_for(m_context.get_executor(), std::chrono::milliseconds(pause(m_random)), _yield);
+	sleep_for(m_context.get_executor(), draw_backoff(_tries, m_random), _yield);
 }
 
 bool store_sync::read_all(const yield_context& _yield)
@@ -196,7 +179,7 @@
 			lease = register_node(_yield);
 			if (0 == lease)
 			{
-				back_off(4 + tries++, _yield);
+				back_off(k_registration_tries + tries++, _yield);
 				continue;
 			}
 			tries = 0;
@@ -207,7 +190,7 @@
 		{
 			note(true);
 		}
-		if (call_status::done == kept.status && 0 == kept.ttl.count())
+		if (registration_lapsed(call_status::done == kept.status, kept.ttl))
 		{
 			lease = 0;
 		}
--- a/src/edge/store_sync_p.h
+++ b/src/edge/store_sync_p.h
@@ -3,6 +3,10 @@
 
 /// @file
 /// Keeps the replica of the platform's keys up to date, and this node registered there.
+///
+/// Owns the calls to the store and what is known of its health. Which nodes read is decided in
+/// steering/store_readers, the pauses in steering/store_pacing. Relies on edge_node for what other nodes
+/// tell.
 #pragma once
 
 #include "state_replica_p.h"
