--- a/src/edge/backend_registry_p.h
+++ b/src/edge/backend_registry_p.h
@@ -9,6 +9,7 @@
 #pragma once
 
 #include "backend_state_p.h"
+#include "node_heartbeat_p.h"
 
 #include <boost/asio/ip/tcp.hpp>
 
@@ -58,15 +59,6 @@
 
 using backend_ptr = std::shared_ptr<backend_server>;
 
-/// Requests of one node at one backend server.
-struct in_flight_count
-{
-	std::uint32_t id_hash = 0; ///< short_hash of the backend server's id.
-	int in_flight = 0;         ///< Requests.
-};
-/// Requests of one node at all backend servers.
-using in_flight_counts = std::vector<in_flight_count>;
-
 /// All backend servers that are known.
 class backend_registry
 {
--- a/src/edge/edge_node.cpp
+++ b/src/edge/edge_node.cpp
@@ -38,15 +38,15 @@
 	return _endpoint.host + ":" + std::to_string(_endpoint.port);
 }
 
-edge_heartbeat self_of(const edge_settings& _settings)
+node_heartbeat self_of(const edge_settings& _settings)
 {
-	edge_heartbeat self;
-	self.node = _settings.place.node;
+	node_heartbeat self;
+	self.node = node_name(_settings.place.node);
 	self.incarnation = static_cast<std::uint64_t>(std::chrono::duration_cast<std::chrono::microseconds>(
 	    std::chrono::system_clock::now().time_since_epoch())
 	                                                  .count());
-	self.domain = _settings.place.domain;
-	self.region = _settings.place.region;
+	self.domain = domain_name(_settings.place.domain);
+	self.region = region_name(_settings.place.region);
 	self.ip = _settings.ip;
 	self.callers = address_text(_settings.callers);
 	return self;
@@ -54,7 +54,7 @@
 
 std::size_t caller_connections(const edge_settings& _settings)
 {
-	const int free = std::max(64, _settings.max_descriptors - k_reserved_descriptors);
+	const int free = std::max(k_least_descriptors, _settings.max_descriptors - k_reserved_descriptors);
 	return static_cast<std::size_t>(k_caller_descriptors * free);
 }
 } // namespace
--- a/src/edge/edge_node_answers.cpp
+++ b/src/edge/edge_node_answers.cpp
@@ -25,15 +25,18 @@
 		return;
 	}
 	m_metrics.count_lookup();
-	std::vector<std::string> homes;
+	std::vector<region_name> homes;
 	if (m_forwarder.routes())
 	{
-		homes = m_forwarder.routes()->home_regions(question->host);
+		for (std::string& home : m_forwarder.routes()->home_regions(question->host))
+		{
+			homes.emplace_back(std::move(home));
+		}
 	}
 	caller_response response(http::status::ok, 11);
 	response.set(http::field::content_type, "application/json");
-	response.body() =
-	    m_dialect.render_lookup(m_fleet.addresses_for(question->region, homes), m_settings.lookup_ttl);
+	const lookup_decision named = m_fleet.look_up(region_name(question->region), homes);
+	response.body() = m_dialect.render_lookup(named.addresses, m_settings.lookup_ttl);
 	_session->respond(std::move(response));
 }
 
--- a/src/edge/edge_node_peers.cpp
+++ b/src/edge/edge_node_peers.cpp
@@ -11,11 +11,8 @@
 {
 namespace
 {
-/// Nodes of a region that read the store: enough that trouble of some does not leave the others without news.
-constexpr std::size_t k_region_readers = 3;
-/// A node that knows less than another one asks it after so long: news may be on the way.
-constexpr std::chrono::milliseconds k_behind{60};
-constexpr std::chrono::milliseconds k_behind_reader{400};
+/// Milliseconds for which another node may take to tell changes. Longer: a dead one holds up the others'
+/// turn. Shorter: the whole state over a slow link is never had. Not measured.
 constexpr std::chrono::milliseconds k_learn_timeout{1000};
 } // namespace
 
@@ -38,8 +35,8 @@
 
 void edge_node::take_datagram(std::size_t _size)
 {
-	result<edge_heartbeat> decoded = decode_heartbeat(m_heartbeat_buffer.data(), _size);
-	if (const edge_heartbeat* one = value_of(decoded))
+	result<node_heartbeat> decoded = decode_heartbeat(m_heartbeat_buffer.data(), _size);
+	if (const node_heartbeat* one = value_of(decoded))
 	{
 		m_fleet.hear(*one);
 		m_replica.tick(); // In a large fleet this node's own ticks are rare.
@@ -70,15 +67,15 @@
 
 bool edge_node::is_reader() const
 {
-	return m_fleet.reader_rank() < k_region_readers;
+	return m_fleet.reader().reads;
 }
 
 void edge_node::on_read(const store_changes& _changes)
 {
 	const std::vector<std::string> others = m_fleet.region_addresses();
-	if (others.size() < k_region_readers)
+	if (all_read(others.size()))
 	{
-		return; // All of them read for themselves.
+		return;
 	}
 	const std::vector<store_changes> parts = split_for_datagrams(_changes);
 	for (const store_changes& part : parts)
@@ -97,20 +94,16 @@
 
 void edge_node::send_heartbeats()
 {
-	edge_heartbeat& self = m_fleet.self();
+	node_heartbeat& self = m_fleet.self();
 	self.config_version = m_forwarder.routes() ? m_forwarder.routes()->version() : 0;
 	self.store_revision = m_replica.revision();
-	self.requests_per_s.clear();
-	for (const auto& [service, demand] : m_forwarder.demand())
-	{
-		self.requests_per_s[service] = demand.requests_per_s;
-	}
+	self.requests_per_s = m_forwarder.requests_per_s();
 	self.store_reached = m_sync.health().reached;
-	self.store_answer_age_ms.reset();
+	self.store_answer_age.reset();
 	if (const std::optional<steady_time> answered = m_sync.health().last_answer)
 	{
-		const auto age = std::chrono::duration_cast<std::chrono::milliseconds>(m_clock.steady() - *answered);
-		self.store_answer_age_ms = age.count();
+		self.store_answer_age =
+		    std::chrono::duration_cast<std::chrono::milliseconds>(m_clock.steady() - *answered);
 	}
 	self.sent_per_s = m_forwarder.sent_per_s();
 	self.in_flight = m_backends.own_in_flight();
@@ -128,7 +121,7 @@
 		return;
 	}
 	m_learning = true;
-	m_learn_timer.expires_after(is_reader() ? k_behind_reader : k_behind);
+	m_learn_timer.expires_after(wait_before_asking(is_reader()));
 	m_learn_timer.async_wait(
 	    [this](beast::error_code)
 	    {
@@ -154,9 +147,9 @@
 	{
 		m_sync.read_routes(_yield);
 	}
-	if (const fleet_member* newer = m_fleet.newer(m_replica.revision()))
+	if (const node_heartbeat* newer = m_fleet.newer(m_replica.revision()))
 	{
-		fetch_state(std::string(newer->last.ip), _yield);
+		fetch_state(std::string(newer->ip), _yield);
 	}
 }
 
--- a/src/edge/fleet.cpp
+++ b/src/edge/fleet.cpp
@@ -5,73 +5,50 @@
 
 #include <algorithm>
 
-#define XXH_INLINE_ALL
-#include <xxhash.h>
-
 namespace larkrack
 {
 namespace
 {
-/// Time between two heartbeats in a small fleet, and for each node of a large one.
-constexpr std::chrono::milliseconds k_interval{100};
-constexpr std::chrono::milliseconds k_interval_per_node{8};
-/// From so many other nodes on, those of other regions get one heartbeat of so many: bytes between regions
-/// are few, and far news is old anyway.
-constexpr std::size_t k_large_fleet = 24;
-constexpr int k_far_rounds = 4;
-/// A node that was silent for so many heartbeats, and so long, is not named to callers.
-constexpr int k_silent_heartbeats = 5;
-constexpr std::chrono::milliseconds k_silent{900};
-/// A node that is silent for longer is forgotten.
-constexpr std::chrono::seconds k_forgotten{60};
-/// Addresses told in one heartbeat.
+/// Addresses that one heartbeat tells. More: larger datagrams. Fewer: a new node finds the others later; they
+/// find it with its first heartbeat. Not measured.
 constexpr std::size_t k_told_addresses = 64;
-/// Addresses in one answer to a look-up.
-constexpr std::size_t k_named_addresses = 64;
 
-/// @returns Weight of a node for rendezvous hashing.
-std::uint64_t weight_of(const std::string& _node, std::uint64_t _what)
+double rate_of(const node_heartbeat& _node, const service_name& _service, const region_name& _region)
 {
-	return XXH64(_node.data(), _node.size(), _what);
+	const auto service = _node.sent_per_s.find(_service);
+	if (_node.sent_per_s.end() == service)
+	{
+		return 0.0;
+	}
+	const auto region = service->second.find(_region);
+	return service->second.end() == region ? 0.0 : region->second;
 }
 } // namespace
 
-fleet::fleet(const clock_base& _clock, edge_heartbeat _self, backend_registry& _backends, edge_log& _log)
+fleet::fleet(const clock_base& _clock, node_heartbeat _self, backend_registry& _backends, edge_log& _log)
     : m_clock(_clock), m_self(std::move(_self)), m_backends(_backends), m_log(_log)
 {
 }
 
-std::chrono::milliseconds fleet::interval() const
-{
-	return std::max(k_interval, k_interval_per_node * static_cast<int>(m_members.size()));
-}
-
 bool fleet::alive(const fleet_member& _member) const
 {
-	const auto between = interval() * (is_far(_member) ? k_far_rounds : 1);
-	return m_clock.steady() - _member.heard_at <=
-	       std::max<std::chrono::milliseconds>(k_silent, k_silent_heartbeats * between);
+	return m_clock.steady() - _member.heard_at <= liveness().longest_silence(is_far(_member));
 }
 
-void fleet::hear(const edge_heartbeat& _heartbeat)
+void fleet::hear(const node_heartbeat& _heartbeat)
 {
 	if (_heartbeat.node == m_self.node)
 	{
 		return;
 	}
 	fleet_member& member = m_members[_heartbeat.node];
-	const auto order = [](const edge_heartbeat& _one)
-	{
-		return std::make_pair(_one.incarnation, _one.sequence);
-	};
-	// Datagrams overtake each other; but a node whose wall clock went back comes with a lower incarnation.
-	if (order(_heartbeat) < order(member.last) && alive(member))
+	if (node_liveness::outdated(_heartbeat, member.last, alive(member)))
 	{
 		return;
 	}
 	member.last = _heartbeat;
 	member.heard_at = m_clock.steady();
-	m_backends.set_in_flight_of_node(node_name(_heartbeat.node), _heartbeat.in_flight);
+	m_backends.set_in_flight_of_node(_heartbeat.node, _heartbeat.in_flight);
 	add_address(_heartbeat.ip);
 	for (const std::string& ip : _heartbeat.known_ips)
 	{
@@ -84,8 +61,7 @@
 		++nodes;
 		in_region += one.last.region == m_self.region ? 1 : 0;
 	}
-	m_most_nodes = std::max(m_most_nodes, nodes);
-	m_most_in_region = std::max(m_most_in_region, in_region);
+	m_census.on_seen(nodes, in_region);
 }
 
 void fleet::add_address(const std::string& _ip)
@@ -96,17 +72,12 @@
 	}
 }
 
-bool fleet::is_far(const fleet_member& _member) const
-{
-	return m_members.size() >= k_large_fleet && _member.last.region != m_self.region;
-}
-
 std::vector<std::string> fleet::targets() const
 {
 	std::set<std::string> targets = m_addresses;
 	for (const auto& [name, member] : m_members)
 	{
-		const bool turn = 0 == (weight_of(name, 0) + m_self.sequence) % k_far_rounds;
+		const bool turn = node_liveness::is_turn_of_far(name, m_self.sequence);
 		if (is_far(member) && !turn && alive(member))
 		{
 			targets.erase(member.last.ip);
@@ -115,7 +86,7 @@
 	return {targets.begin(), targets.end()};
 }
 
-edge_heartbeat fleet::next()
+node_heartbeat fleet::next()
 {
 	++m_self.sequence;
 	m_self.known_ips.clear();
@@ -129,69 +100,47 @@
 	return m_self;
 }
 
-std::vector<std::string> fleet::ready_in(const std::string& _region) const
+lookup_decision fleet::look_up(const region_name& _region, const std::vector<region_name>& _homes) const
 {
-	std::vector<std::string> addresses;
+	std::vector<const node_heartbeat*> ready;
 	for (const auto& [name, member] : m_members)
 	{
-		const bool wanted = _region.empty() || member.last.region == _region;
-		if (wanted && node_state::ready == member.last.state && alive(member))
+		if (node_state::ready == member.last.state && alive(member))
 		{
-			addresses.push_back(member.last.callers);
+			ready.push_back(&member.last);
 		}
 	}
-	if (node_state::ready == m_self.state && (_region.empty() || m_self.region == _region))
+	if (node_state::ready == m_self.state)
 	{
-		addresses.push_back(m_self.callers);
+		ready.push_back(&m_self);
 	}
-	return addresses;
+	return plan_lookup(_region, _homes, ready, m_self.callers);
 }
 
-std::vector<std::string> fleet::addresses_for(
-    const std::string& _region, const std::vector<std::string>& _homes) const
+reader_decision fleet::reader() const
 {
-	std::vector<std::string> addresses = ready_in(_region);
-	for (const std::string& home : _homes)
+	std::vector<const node_heartbeat*> live;
+	for (const auto& [name, member] : m_members)
 	{
-		if (!addresses.empty())
+		if (is_near(member))
 		{
-			break;
+			live.push_back(&member.last);
 		}
-		addresses = ready_in(home);
-	}
-	if (addresses.empty())
-	{
-		addresses = ready_in("");
-	}
-	if (addresses.empty())
-	{
-		// Nobody is ready. A stopping node still serves; naming it is better than naming none.
-		addresses.push_back(m_self.callers);
-	}
-	if (addresses.size() > k_named_addresses)
-	{
-		addresses.resize(k_named_addresses);
 	}
-	return addresses;
+	return plan_reader(m_self, live);
 }
 
-const fleet_member* fleet::newer(std::int64_t _store_revision) const
+const node_heartbeat* fleet::newer(std::int64_t _store_revision) const
 {
-	const std::uint64_t chance = weight_of(m_self.node, m_self.sequence);
-	const auto order = [&](const fleet_member& _member)
-	{
-		return std::make_pair(_member.last.region == m_self.region, weight_of(_member.last.node, chance));
-	};
-	const fleet_member* best = nullptr;
+	std::vector<const node_heartbeat*> live;
 	for (const auto& [name, member] : m_members)
 	{
-		const bool newer = alive(member) && member.last.store_revision > _store_revision;
-		if (newer && (nullptr == best || order(member) > order(*best)))
+		if (member.last.store_revision > _store_revision && alive(member))
 		{
-			best = &member;
+			live.push_back(&member.last);
 		}
 	}
-	return best;
+	return choose_peer(m_self, _store_revision, live);
 }
 
 std::uint64_t fleet::newest_config() const
@@ -204,25 +153,12 @@
 	return newest;
 }
 
-std::vector<std::string> fleet::region_nodes() const
-{
-	std::vector<std::string> nodes{m_self.node};
-	for (const auto& [name, member] : m_members)
-	{
-		if (member.last.region == m_self.region && alive(member))
-		{
-			nodes.push_back(name);
-		}
-	}
-	return nodes;
-}
-
 std::vector<std::string> fleet::region_addresses() const
 {
 	std::vector<std::string> addresses;
 	for (const auto& [name, member] : m_members)
 	{
-		if (member.last.region == m_self.region && alive(member))
+		if (is_near(member))
 		{
 			addresses.push_back(member.last.ip);
 		}
@@ -230,32 +166,16 @@
 	return addresses;
 }
 
-std::size_t fleet::reader_rank() const
-{
-	const auto order = [](const edge_heartbeat& _node)
-	{
-		return std::make_pair(_node.store_reached, weight_of(_node.node, 0));
-	};
-	std::size_t rank = 0;
-	for (const auto& [name, member] : m_members)
-	{
-		const bool may_read =
-		    member.last.region == m_self.region && alive(member) && node_state::stopping != member.last.state;
-		rank += may_read && order(member.last) > order(m_self) ? 1 : 0;
-	}
-	return rank;
-}
-
 std::optional<steady_time> fleet::store_answered_at() const
 {
 	std::optional<steady_time> latest;
 	for (const auto& [name, member] : m_members)
 	{
-		if (member.last.region != m_self.region || !member.last.store_answer_age_ms)
+		if (member.last.region != m_self.region || !member.last.store_answer_age)
 		{
 			continue;
 		}
-		const steady_time at = member.heard_at - std::chrono::milliseconds(*member.last.store_answer_age_ms);
+		const steady_time at = member.heard_at - *member.last.store_answer_age;
 		latest = latest ? std::max(*latest, at) : at;
 	}
 	return latest;
@@ -263,87 +183,58 @@
 
 double fleet::warmup_part(const backend_state& _backend) const
 {
-	const std::vector<std::string> nodes = region_nodes();
-	if (2 * nodes.size() < m_most_in_region)
-	{
-		// Most of the region is out of sight: it may be this node that is cut off.
-		return 1.0 / static_cast<double>(m_most_in_region);
-	}
-	const std::uint64_t own = weight_of(m_self.node, _backend.id_hash);
-	for (const std::string& node : nodes)
+	std::vector<const node_name*> nodes{&m_self.node};
+	for (const auto& [name, member] : m_members)
 	{
-		if (weight_of(node, _backend.id_hash) > own)
+		if (is_near(member))
 		{
-			return 0.0;
+			nodes.push_back(&name);
 		}
 	}
-	return 1.0;
+	return plan_warmup(m_self.node, nodes, m_census.most_in_region(), _backend.id_hash).part;
 }
 
 void fleet::tick()
 {
 	for (auto it = m_members.begin(); it != m_members.end();)
 	{
-		const bool now_alive = alive(it->second);
-		if (now_alive != it->second.told_alive)
+		fleet_member& member = it->second;
+		const bool now_alive = alive(member);
+		const steady_time::duration silence = m_clock.steady() - member.heard_at;
+		if (now_alive != member.logged_alive)
 		{
-			it->second.told_alive = now_alive;
-			const auto silent =
-			    std::chrono::duration_cast<std::chrono::milliseconds>(m_clock.steady() - it->second.heard_at);
+			member.logged_alive = now_alive;
 			m_log.write(log_line(now_alive ? event::peer_up : event::peer_suspected)
-			                .text("peer", it->first)
-			                .number("incarnation", static_cast<std::int64_t>(it->second.last.incarnation))
-			                .number("silent_ms", silent.count()));
+			                .text("peer", it->first.text)
+			                .number("incarnation", static_cast<std::int64_t>(member.last.incarnation))
+			                .number("silent_ms",
+			                    std::chrono::duration_cast<std::chrono::milliseconds>(silence).count()));
 		}
 		if (!now_alive)
 		{
 			// What it has in flight now is not known; the reports of backend servers are all there is.
-			m_backends.set_in_flight_of_node(node_name(it->first), {});
+			m_backends.set_in_flight_of_node(it->first, {});
 		}
-		it = m_clock.steady() - it->second.heard_at > k_forgotten ? m_members.erase(it) : std::next(it);
+		it = node_liveness::forgotten(silence) ? m_members.erase(it) : std::next(it);
 	}
 }
 
-sharing fleet::sharers() const
-{
-	return {static_cast<double>(m_most_nodes)};
-}
-
-slot_portion fleet::portion(const std::string& _service, const std::string& _region) const
+slot_portion fleet::portion(const service_name& _service, const region_name& _region) const
 {
-	const auto rate_of = [&](const edge_heartbeat& _node)
-	{
-		const auto service = _node.sent_per_s.find(_service);
-		if (_node.sent_per_s.end() == service)
-		{
-			return 0.0;
-		}
-		const auto region = service->second.find(_region);
-		return service->second.end() == region ? 0.0 : region->second;
-	};
-	const double own = rate_of(m_self);
-	double before = 0.0;
-	double all = own;
+	std::vector<node_rate> others;
 	for (const auto& [name, member] : m_members)
 	{
-		if (!alive(member))
+		if (alive(member))
 		{
-			continue;
+			others.push_back({&name, rate_of(member.last, _service, _region)});
 		}
-		const double rate = rate_of(member.last);
-		all += rate;
-		before += name < m_self.node ? rate : 0.0;
-	}
-	if (own <= 0.0)
-	{
-		return all > 0.0 ? slot_portion{0.0, 0.0} : slot_portion{};
 	}
-	return {before / all, (before + own) / all};
+	return plan_slot_portion(m_self.node, rate_of(m_self, _service, _region), others);
 }
 
-std::map<std::string, double> fleet::demand_of_others(const std::string& _service) const
+rate_by_region fleet::demand_of_others(const service_name& _service) const
 {
-	std::map<std::string, double> demand;
+	rate_by_region demand;
 	for (const auto& [name, member] : m_members)
 	{
 		const auto it = member.last.requests_per_s.find(_service);
--- a/src/edge/forwarder.cpp
+++ b/src/edge/forwarder.cpp
@@ -69,13 +69,8 @@
 
 void forwarder::update(const service_name& _name, service_steering& _steering, steady_time _now)
 {
-	rate_by_region per_s_elsewhere;
-	for (const auto& [region, per_s] : m_context.fleet.demand_of_others(_name.text))
-	{
-		per_s_elsewhere[region_name(region)] = per_s;
-	}
 	const auto change =
-	    _steering.update(m_context.backends.of_service(_name), std::move(per_s_elsewhere), _now);
+	    _steering.update(m_context.backends.of_service(_name), m_context.fleet.demand_of_others(_name), _now);
 	if (change)
 	{
 		m_context.log.write(line_of(_name, *change));
@@ -98,26 +93,25 @@
 		update(name, steering, now);
 		for (const auto& [region, share] : steering.shares.by_slots.shares())
 		{
-			steering.set_own_portion(region, m_context.fleet.portion(name.text, region.text));
+			steering.set_own_portion(region, m_context.fleet.portion(name, region));
 		}
 	}
 	pump();
 }
 
-demand_by_service forwarder::demand() const
+rate_by_service forwarder::requests_per_s() const
 {
-	demand_by_service demand;
+	rate_by_service rates;
 	for (const auto& [name, service] : m_services)
 	{
-		const demand_meter& meter = service.steering.demand;
-		demand[name.text] = {meter.requests_per_s(), meter.service_time_s()};
+		rates[name] = service.steering.demand.requests_per_s();
 	}
-	return demand;
+	return rates;
 }
 
-sent_by_service forwarder::sent_per_s() const
+rate_by_service_and_region forwarder::sent_per_s() const
 {
-	sent_by_service sent;
+	rate_by_service_and_region sent;
 	for (const auto& [name, service] : m_services)
 	{
 		for (const auto& [region, share] : service.steering.shares.by_slots.shares())
@@ -125,7 +119,7 @@
 			const double per_s = share * service.steering.demand.requests_per_s();
 			if (per_s > k_least_demand_per_s)
 			{
-				sent[name.text][region.text] = per_s;
+				sent[name][region] = per_s;
 			}
 		}
 	}
--- a/src/edge/forwarder_p.h
+++ b/src/edge/forwarder_p.h
@@ -33,17 +33,6 @@
 	std::string region;
 };
 
-/// What this node measures of one service.
-struct service_demand
-{
-	double requests_per_s = 0.0; ///< First tries of callers at this node.
-	double service_time_s = 0.0; ///< Mean time of an exchange.
-};
-using demand_by_service = std::map<std::string, service_demand>;
-
-/// Requests a second that this node sends to each region, by service.
-using sent_by_service = std::map<std::string, std::map<std::string, double>>;
-
 /// Counters for the metrics page and tests.
 struct forwarder_counters
 {
@@ -120,9 +109,10 @@
 	void pump() override;
 	/// Works out shares and rates anew; call it at a steady interval.
 	void tick();
-	/// @returns Rates for the other nodes.
-	demand_by_service demand() const;
-	sent_by_service sent_per_s() const;
+	/// @returns First tries of callers at this node.
+	rate_by_service requests_per_s() const;
+	/// @returns Requests with an affinity key that this node sends to each region.
+	rate_by_service_and_region sent_per_s() const;
 	const forwarder_counters& counters() const
 	{
 		return m_context.counters;
--- a/src/edge/heartbeat.cpp
+++ b/src/edge/heartbeat.cpp
@@ -14,26 +14,111 @@
 constexpr std::size_t k_fields = 17;
 /// Stands for an age that there is none of.
 constexpr std::int64_t k_no_age = -1;
-} // namespace
 
-std::vector<std::uint8_t> encode(const edge_heartbeat& _heartbeat)
+/// Rates by service or by region as an object.
+template <typename Tag>
+nlohmann::json rates_to_json(const std::map<text_id<Tag>, double>& _rates)
+{
+	nlohmann::json object = nlohmann::json::object();
+	for (const auto& [id, per_s] : _rates)
+	{
+		object[id.text] = per_s;
+	}
+	return object;
+}
+
+template <typename Tag>
+std::map<text_id<Tag>, double> rates_of_json(const nlohmann::json& _object)
+{
+	std::map<text_id<Tag>, double> rates;
+	for (const auto& [id, per_s] : _object.get<std::map<std::string, double>>())
+	{
+		rates.emplace(id, per_s);
+	}
+	return rates;
+}
+
+nlohmann::json sent_to_json(const rate_by_service_and_region& _sent)
+{
+	nlohmann::json object = nlohmann::json::object();
+	for (const auto& [service, rates] : _sent)
+	{
+		object[service.text] = rates_to_json(rates);
+	}
+	return object;
+}
+
+rate_by_service_and_region sent_of_json(const nlohmann::json& _object)
 {
-	nlohmann::json loads = nlohmann::json::array();
-	for (const in_flight_count& count : _heartbeat.in_flight)
+	rate_by_service_and_region sent;
+	for (const auto& [service, rates] : _object.get<std::map<std::string, nlohmann::json>>())
 	{
-		loads.push_back(count.id_hash);
-		loads.push_back(count.in_flight);
+		sent.emplace(service, rates_of_json<region_name_tag>(rates));
 	}
-	const nlohmann::json document = {k_layout, _heartbeat.node, _heartbeat.incarnation, _heartbeat.sequence,
-	    _heartbeat.domain, _heartbeat.region, _heartbeat.ip, _heartbeat.callers,
-	    static_cast<int>(_heartbeat.state), _heartbeat.config_version, _heartbeat.store_revision,
-	    nlohmann::json(_heartbeat.requests_per_s), nlohmann::json(_heartbeat.known_ips),
-	    nlohmann::json(_heartbeat.sent_per_s), std::move(loads), _heartbeat.store_reached,
-	    _heartbeat.store_answer_age_ms.value_or(k_no_age)};
+	return sent;
+}
+
+nlohmann::json in_flight_to_json(const in_flight_counts& _counts)
+{
+	nlohmann::json list = nlohmann::json::array();
+	for (const in_flight_count& count : _counts)
+	{
+		list.push_back(count.id_hash);
+		list.push_back(count.in_flight);
+	}
+	return list;
+}
+
+in_flight_counts in_flight_of_json(const nlohmann::json& _list)
+{
+	in_flight_counts counts;
+	for (std::size_t i = 0; i + 1 < _list.size(); i += 2)
+	{
+		counts.push_back({_list.at(i).get<std::uint32_t>(), _list.at(i + 1).get<int>()});
+	}
+	return counts;
+}
+
+node_heartbeat heartbeat_of_json(const nlohmann::json& _document)
+{
+	node_heartbeat one;
+	one.node = node_name(_document.at(1).get<std::string>());
+	one.incarnation = _document.at(2).get<std::uint64_t>();
+	one.sequence = _document.at(3).get<std::uint64_t>();
+	one.domain = domain_name(_document.at(4).get<std::string>());
+	one.region = region_name(_document.at(5).get<std::string>());
+	one.ip = _document.at(6).get<std::string>();
+	one.callers = _document.at(7).get<std::string>();
+	one.state = static_cast<node_state>(_document.at(8).get<int>());
+	one.config_version = _document.at(9).get<std::uint64_t>();
+	one.store_revision = _document.at(10).get<std::int64_t>();
+	one.requests_per_s = rates_of_json<service_name_tag>(_document.at(11));
+	one.known_ips = _document.at(12).get<std::vector<std::string>>();
+	one.sent_per_s = sent_of_json(_document.at(13));
+	one.in_flight = in_flight_of_json(_document.at(14));
+	one.store_reached = _document.at(15).get<bool>();
+	const auto age = _document.at(16).get<std::int64_t>();
+	if (age >= 0)
+	{
+		one.store_answer_age = std::chrono::milliseconds(age);
+	}
+	return one;
+}
+} // namespace
+
+std::vector<std::uint8_t> encode(const node_heartbeat& _heartbeat)
+{
+	const std::int64_t age = _heartbeat.store_answer_age ? _heartbeat.store_answer_age->count() : k_no_age;
+	const nlohmann::json document = {k_layout, _heartbeat.node.text, _heartbeat.incarnation,
+	    _heartbeat.sequence, _heartbeat.domain.text, _heartbeat.region.text, _heartbeat.ip,
+	    _heartbeat.callers, static_cast<int>(_heartbeat.state), _heartbeat.config_version,
+	    _heartbeat.store_revision, rates_to_json(_heartbeat.requests_per_s),
+	    nlohmann::json(_heartbeat.known_ips), sent_to_json(_heartbeat.sent_per_s),
+	    in_flight_to_json(_heartbeat.in_flight), _heartbeat.store_reached, age};
 	return nlohmann::json::to_cbor(document);
 }
 
-result<edge_heartbeat> decode_heartbeat(const std::uint8_t* _data, std::size_t _size)
+result<node_heartbeat> decode_heartbeat(const std::uint8_t* _data, std::size_t _size)
 {
 	try
 	{
@@ -42,32 +127,7 @@
 		{
 			return error{"bad_heartbeat", "another layout"};
 		}
-		edge_heartbeat one;
-		one.node = document.at(1).get<std::string>();
-		one.incarnation = document.at(2).get<std::uint64_t>();
-		one.sequence = document.at(3).get<std::uint64_t>();
-		one.domain = document.at(4).get<std::string>();
-		one.region = document.at(5).get<std::string>();
-		one.ip = document.at(6).get<std::string>();
-		one.callers = document.at(7).get<std::string>();
-		one.state = static_cast<node_state>(document.at(8).get<int>());
-		one.config_version = document.at(9).get<std::uint64_t>();
-		one.store_revision = document.at(10).get<std::int64_t>();
-		one.requests_per_s = document.at(11).get<std::map<std::string, double>>();
-		one.known_ips = document.at(12).get<std::vector<std::string>>();
-		one.sent_per_s = document.at(13).get<std::map<std::string, std::map<std::string, double>>>();
-		one.store_reached = document.at(15).get<bool>();
-		const auto age = document.at(16).get<std::int64_t>();
-		if (age >= 0)
-		{
-			one.store_answer_age_ms = age;
-		}
-		const nlohmann::json& loads = document.at(14);
-		for (std::size_t i = 0; i + 1 < loads.size(); i += 2)
-		{
-			one.in_flight.push_back({loads.at(i).get<std::uint32_t>(), loads.at(i + 1).get<int>()});
-		}
-		return one;
+		return heartbeat_of_json(document);
 	}
 	catch (const nlohmann::json::exception& exception)
 	{
--- a/src/steering/backend_choice.cpp
+++ b/src/steering/backend_choice.cpp
@@ -31,7 +31,7 @@
 	{
 		return true;
 	}
-	return _backend.connections < std::max(1.0, _query.limits.max_connections / _query.sharers.nodes);
+	return _backend.connections < connections_of_node(_query.limits.max_connections, _query.sharers);
 }
 
 bool grant_cold(backend_state& _backend, const backend_query& _query, const warmup_sharing_base& _warmup,
@@ -48,7 +48,7 @@
 		return false;
 	}
 	const double part = _warmup.warmup_part(_backend);
-	return part > 0.0 && _backend.warmup.take(k_warmup_part * per_s * part, k_warmup_burst, _now);
+	return part > 0.0 && _backend.warmup.take(warmup_rate(per_s, part), k_warmup_burst, _now);
 }
 
 double rank_of(const backend_state& _backend, const backend_query& _query, steady_time _now)
@@ -88,13 +88,6 @@
 }
 } // namespace
 
-int slot_portion::slots_of(const backend_state& _backend) const
-{
-	const double offset = _backend.id_hash / static_cast<double>(UINT32_MAX);
-	const int slots = _backend.registered.slots;
-	return static_cast<int>(std::floor(end * slots + offset) - std::floor(begin * slots + offset));
-}
-
 backend_choice choose_backend(
     const backend_query& _query, const warmup_sharing_base& _warmup, steady_time _now)
 {
--- a/src/steering/backend_choice_p.h
+++ b/src/steering/backend_choice_p.h
@@ -18,8 +18,8 @@
 /// - a free slot: fewer requests than slots (k_own_depth times the slots at the first one of a key), or fewer
 ///   requests of this node than its own part of the slots;
 /// - a connection: an idle one, or fewer than this node's part of the limit;
-/// - slow start: a cold one gets requests of its own region's nodes only, within a token bucket at
-///   k_warmup_part of what it bears.
+/// - slow start: a cold one gets requests of its own region's nodes only, within a token bucket at this
+///   node's part of what it bears (shared_budgets_p.h).
 ///
 /// Other ways (docs/EDGE.md):
 /// - reports of backend servers alone, without own parts of the slots: worth of scale-2 of ondaraiz-portal
@@ -34,14 +34,13 @@
 
 #include "affinity_key_p.h"
 #include "backend_state_p.h"
+#include "shared_budgets_p.h"
+#include "slot_portion_p.h"
 
 #include <vector>
 
 namespace larkrack
 {
-/// Part of the warm-up rate that is used, no unit, so that small bursts of several nodes stay within the
-/// limit. Larger warms sooner. Not measured.
-constexpr double k_warmup_part = 0.9;
 /// Requests that may go to a cold backend server at once after a pause. Not measured.
 constexpr double k_warmup_burst = 1.0;
 /// Backend servers of each key, besides those that its part of the requests needs. More spread a burst of one
@@ -63,24 +62,6 @@
 /// verhaegen-pod 0.717 with 1.0, 0.747 with 1.7 (docs/EDGE.md, "Keys"; commit 6f50c51).
 constexpr double k_own_depth = 1.7;
 
-/// A node's part of the slots of each backend server: the part of [0, 1) between two ends. The parts of all
-/// nodes lie side by side.
-struct slot_portion
-{
-	double begin = 0.0;
-	double end = 1.0;
-
-	/// @returns Slots of one backend server that are this node's own. Where the part is no whole number of
-	/// slots, the nodes take turns over the backend servers.
-	int slots_of(const backend_state& _backend) const;
-};
-
-/// How many nodes draw from the budgets of a backend server.
-struct sharing
-{
-	double nodes = 1.0; ///< All nodes.
-};
-
 /// Tells which nodes send to cold backend servers.
 class warmup_sharing_base
 {
--- a/src/steering/fleet_view_p.h
+++ b/src/steering/fleet_view_p.h
@@ -8,9 +8,7 @@
 #pragma once
 
 #include "backend_choice_p.h"
-
-#include <map>
-#include <string>
+#include "node_heartbeat_p.h"
 
 namespace larkrack
 {
@@ -21,9 +19,9 @@
 	/// @returns Nodes that draw from shared budgets.
 	virtual sharing sharers() const = 0;
 	/// @returns Requests a second for a service, by region of the nodes that took them; this node left out.
-	virtual std::map<std::string, double> demand_of_others(const std::string& _service) const = 0;
+	virtual rate_by_region demand_of_others(const service_name& _service) const = 0;
 	/// @returns This node's part of the slots of a service's backend servers in a region, by what each node
 	/// sends there.
-	virtual slot_portion portion(const std::string& _service, const std::string& _region) const = 0;
+	virtual slot_portion portion(const service_name& _service, const region_name& _region) const = 0;
 };
 } // namespace larkrack
--- /dev/null
+++ b/src/steering/node_heartbeat_p.h
@@ -0,0 +1,67 @@
+// Copyright 2026 the larkrack developers. All rights reserved.
+// License: BSD 2-Clause, see LICENSE.
+
+/// @file
+/// What nodes tell each other of themselves: the message that decisions over the fleet read. Its bytes are
+/// made in edge/heartbeat_p.h.
+#pragma once
+
+#include "names_p.h"
+#include "rates_p.h"
+
+#include "../clock_p.h"
+
+#include <cstdint>
+#include <optional>
+#include <string>
+#include <vector>
+
+namespace larkrack
+{
+/// What a node is ready for.
+enum class node_state : std::uint8_t
+{
+	starting, ///< It has no configuration yet.
+	ready,
+	stopping,
+};
+
+/// Requests of one node at one backend server.
+struct in_flight_count
+{
+	std::uint32_t id_hash = 0; ///< short_hash of the backend server's id.
+	int in_flight = 0;         ///< Requests.
+};
+/// Requests of one node at all backend servers.
+using in_flight_counts = std::vector<in_flight_count>;
+
+/// Heartbeat of one node.
+struct node_heartbeat
+{
+	node_name node;
+	std::uint64_t incarnation = 0; ///< Grows with each start of the node.
+	std::uint64_t sequence = 0;    ///< Grows with each heartbeat of an incarnation.
+	domain_name domain;
+	region_name region;
+	std::string ip;
+	std::string callers; ///< Address for callers' requests, "IP:port".
+	node_state state = node_state::starting;
+	std::uint64_t config_version = 0;
+	std::int64_t store_revision = 0; ///< Up to which it knows the store's keys.
+	bool store_reached = true;       ///< Whether the store answered its last call.
+	/// Time since the store answered it; nothing when it never did.
+	std::optional<std::chrono::milliseconds> store_answer_age;
+	rate_by_service requests_per_s;        ///< First tries of callers at this node.
+	rate_by_service_and_region sent_per_s; ///< Requests with an affinity key, by where they run.
+	in_flight_counts in_flight;
+	std::vector<std::string> known_ips; ///< Other nodes; how nodes find each other.
+};
+
+/// Another node, as far as its heartbeats tell.
+struct fleet_member
+{
+	node_heartbeat last;
+	steady_time heard_at{};
+	bool logged_alive = false; ///< What the log says of it.
+};
+} // namespace larkrack
--- a/src/steering/region_plan_p.h
+++ b/src/steering/region_plan_p.h
@@ -24,6 +24,7 @@
 #pragma once
 
 #include "backend_state_p.h"
+#include "rates_p.h"
 
 #include <map>
 #include <vector>
@@ -55,8 +56,6 @@
 using figures_by_region = std::map<region_name, region_figures>;
 /// Parts of the requests, 0 to 1.
 using share_by_region = std::map<region_name, double>;
-/// Requests a second.
-using rate_by_region = std::map<region_name, double>;
 
 /// @param[in] _home Region of this node.
 /// @param[in] _per_s Requests a second by region of the nodes that took them, of all nodes.
--- /dev/null
+++ b/src/steering/shared_budgets_p.h
@@ -0,0 +1,90 @@
+// Copyright 2026 the larkrack developers. All rights reserved.
+// License: BSD 2-Clause, see LICENSE.
+
+/// @file
+/// Decides this node's part of budgets that hold over all nodes: retries, connections to a backend server,
+/// and the request rate of a cold backend server (slow start).
+///
+/// Inputs: nodes that were seen (count, and names of those of this region that are live); limits of the
+/// service (connections; requests a second); the hash of the backend server's id.
+///
+/// Rule:
+/// - Retries and connections are divided by the most nodes ever seen at once. A node that falls silent may
+/// only
+///   be cut off and goes on spending, so its part is not given to others.
+/// - A cold backend server gets requests from one node of its region, chosen by rendezvous hashing, which has
+///   the whole rate. A node that sees less than half of its region can not trust that choice and takes 1/n.
+///
+/// Why not another way:
+/// - each node its part of the rate of a cold backend server: every node began with a token, and 16 requests
+///   came in a second where 13.2 were allowed (commit 77d415c);
+/// - division by the nodes that are seen now: a split of the network would let both sides spend everything;
+///   not measured.
+///
+/// Relies on: node_liveness for who is live.
+#pragma once
+
+#include "names_p.h"
+
+#include <cstdint>
+#include <vector>
+
+namespace larkrack
+{
+/// How many nodes draw from a shared budget.
+struct sharing
+{
+	double nodes = 1.0; ///< All nodes.
+};
+
+/// Most nodes ever seen at once, this one among them.
+class node_census
+{
+public:
+	/// Takes how many nodes are known now.
+	void on_seen(std::size_t _nodes, std::size_t _in_region);
+	/// @returns Nodes that share budgets.
+	sharing sharers() const
+	{
+		return {static_cast<double>(m_most_nodes)};
+	}
+	std::size_t most_in_region() const
+	{
+		return m_most_in_region;
+	}
+
+private:
+	std::size_t m_most_nodes = 1;
+	std::size_t m_most_in_region = 1;
+};
+
+/// @param[in] _limit Connections that one backend server takes from all nodes; more than 0.
+/// @returns Connections that this node may hold to it; at least 1.
+double connections_of_node(int _limit, const sharing& _sharing);
+
+/// Why a node has its part of what a cold backend server bears.
+enum class warmup_reason
+{
+	chosen,       ///< Rendezvous hashing chose this node: all of it.
+	another_node, ///< It chose another one: nothing.
+	cut_off,      ///< Most of the region is out of sight: 1/n.
+};
+
+/// This node's part of what a cold backend server of its region bears.
+struct warmup_decision
+{
+	double part = 0.0; ///< 0 to 1.
+	warmup_reason reason = warmup_reason::another_node;
+};
+
+/// @param[in] _region_nodes Live nodes of this region, this one among them or not.
+/// @param[in] _most_in_region Most nodes of the region ever seen at once.
+/// @param[in] _id_hash Hash of the backend server's id.
+warmup_decision plan_warmup(const node_name& _self, const std::vector<const node_name*>& _region_nodes,
+    std::size_t _most_in_region, std::uint32_t _id_hash);
+
+/// @param[in] _per_s Requests a second that the service allows a cold backend server, from all nodes.
+/// @param[in] _part This node's part, 0 to 1.
+/// @returns Requests a second that this node may send to it.
+double warmup_rate(double _per_s, double _part);
+} // namespace larkrack
--- /dev/null
+++ b/src/steering/slot_portion.cpp
@@ -0,0 +1,33 @@
+// Copyright 2026 the larkrack developers. All rights reserved.
+// License: BSD 2-Clause, see LICENSE.
+
+#include "slot_portion_p.h"
+
+#include <cmath>
+
+namespace larkrack
+{
+int slot_portion::slots_of(const backend_state& _backend) const
+{
+	const double offset = _backend.id_hash / static_cast<double>(UINT32_MAX);
+	const int slots = _backend.registered.slots;
+	return static_cast<int>(std::floor(end * slots + offset) - std::floor(begin * slots + offset));
+}
+
+slot_portion plan_slot_portion(
+    const node_name& _self, double _own_per_s, const std::vector<node_rate>& _others)
+{
+	double before = 0.0;
+	double all = _own_per_s;
+	for (const node_rate& other : _others)
+	{
+		all += other.per_s;
+		before += *other.node < _self ? other.per_s : 0.0;
+	}
+	if (_own_per_s <= 0.0)
+	{
+		return all > 0.0 ? slot_portion{0.0, 0.0} : slot_portion{};
+	}
+	return {before / all, (before + _own_per_s) / all};
+}
+} // namespace larkrack
--- a/tests/edge_fixture.h
+++ b/tests/edge_fixture.h
@@ -21,11 +21,11 @@
 	{
 		return {nodes};
 	}
-	std::map<std::string, double> demand_of_others(const std::string&) const override
+	rate_by_region demand_of_others(const service_name&) const override
 	{
 		return {};
 	}
-	slot_portion portion(const std::string&, const std::string&) const override
+	slot_portion portion(const service_name&, const region_name&) const override
 	{
 		return {};
 	}
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -34,14 +34,14 @@
 	}
 
 protected:
-	static edge_heartbeat node(const std::string& _name, const std::string& _region = "east")
+	static node_heartbeat node(const std::string& _name, const std::string& _region = "east")
 	{
-		edge_heartbeat one;
-		one.node = _name;
+		node_heartbeat one;
+		one.node = node_name(_name);
 		one.incarnation = 1000;
 		one.sequence = 1;
-		one.region = _region;
-		one.domain = _region + "-a";
+		one.region = region_name(_region);
+		one.domain = domain_name(_region + "-a");
 		one.ip = "10.0.0." + _name.substr(1);
 		one.callers = one.ip + ":80";
 		one.state = node_state::ready;
@@ -60,22 +60,22 @@
 
 	void heartbeat_encoded_and_decoded_is_the_same()
 	{
-		edge_heartbeat one = node("n1");
+		node_heartbeat one = node("n1");
 		one.store_revision = 77;
 		one.store_reached = false;
-		one.store_answer_age_ms = 1250;
-		one.requests_per_s = {{"shop", 12.5}};
-		one.sent_per_s = {{"shop", {{"west", 3.25}}}};
+		one.store_answer_age = std::chrono::milliseconds(1250);
+		one.requests_per_s = {{service_name("shop"), 12.5}};
+		one.sent_per_s = {{service_name("shop"), {{region_name("west"), 3.25}}}};
 		one.in_flight = {{4000000000U, 3}};
 		one.known_ips = {"10.0.0.2"};
 		const std::vector<std::uint8_t> bytes = encode(one);
-		result<edge_heartbeat> decoded = decode_heartbeat(bytes.data(), bytes.size());
-		const edge_heartbeat* same = value_of(decoded);
+		result<node_heartbeat> decoded = decode_heartbeat(bytes.data(), bytes.size());
+		const node_heartbeat* same = value_of(decoded);
 		CPPUNIT_ASSERT(nullptr != same);
 		CPPUNIT_ASSERT(bytes == encode(*same));
 		CPPUNIT_ASSERT_EQUAL(std::int64_t(77), same->store_revision);
 		CPPUNIT_ASSERT(!same->store_reached);
-		CPPUNIT_ASSERT_EQUAL(std::int64_t(1250), same->store_answer_age_ms.value());
+		CPPUNIT_ASSERT(std::chrono::milliseconds(1250) == same->store_answer_age.value());
 		CPPUNIT_ASSERT_EQUAL(3, same->in_flight.at(0).in_flight);
 	}
 
@@ -84,7 +84,7 @@
 		const std::vector<std::uint8_t> bytes = encode(node("n1"));
 		for (std::size_t size = 0; size < bytes.size(); ++size)
 		{
-			result<edge_heartbeat> decoded = decode_heartbeat(bytes.data(), size);
+			result<node_heartbeat> decoded = decode_heartbeat(bytes.data(), size);
 			CPPUNIT_ASSERT(nullptr == value_of(decoded));
 		}
 	}
@@ -92,19 +92,20 @@
 	void lookup_names_only_ready_nodes_of_the_region()
 	{
 		fleet view = view_of("n1", 2);
-		edge_heartbeat stopping = node("n3");
+		node_heartbeat stopping = node("n3");
 		stopping.state = node_state::stopping;
 		view.hear(stopping);
 		view.hear(node("n4", "west"));
 		const std::vector<std::string> expected{"10.0.0.2:80", "10.0.0.1:80"};
-		CPPUNIT_ASSERT(expected == view.addresses_for("east", {}));
+		CPPUNIT_ASSERT(expected == view.look_up(region_name("east"), {}).addresses);
 	}
 
 	void lookup_silent_node_is_left_out()
 	{
 		fleet view = view_of("n1", 2);
 		m_clock.advance(std::chrono::seconds(2));
-		CPPUNIT_ASSERT(std::vector<std::string>{"10.0.0.1:80"} == view.addresses_for("east", {}));
+		CPPUNIT_ASSERT(
+		    std::vector<std::string>{"10.0.0.1:80"} == view.look_up(region_name("east"), {}).addresses);
 	}
 
 	void lookup_region_without_nodes_names_homes_first()
@@ -113,26 +114,28 @@
 		view.hear(node("n7", "west"));
 		view.hear(node("n8", "north"));
 		CPPUNIT_ASSERT(
-		    std::vector<std::string>{"10.0.0.7:80"} == view.addresses_for("south", {"south", "west"}));
+		    std::vector<std::string>{"10.0.0.7:80"} ==
+		    view.look_up(region_name("south"), {region_name("south"), region_name("west")}).addresses);
 	}
 
 	void lookup_nobody_ready_names_this_node()
 	{
 		fleet view = view_of("n1", 0);
 		view.self().state = node_state::stopping;
-		CPPUNIT_ASSERT(std::vector<std::string>{"10.0.0.1:80"} == view.addresses_for("east", {}));
+		CPPUNIT_ASSERT(
+		    std::vector<std::string>{"10.0.0.1:80"} == view.look_up(region_name("east"), {}).addresses);
 	}
 
 	void restart_with_an_older_clock_is_heard_once_the_former_life_is_silent()
 	{
 		fleet view = view_of("n1", 2);
-		edge_heartbeat reborn = node("n2");
+		node_heartbeat reborn = node("n2");
 		reborn.incarnation = 10; // The wall clock went back.
 		view.hear(reborn);
-		CPPUNIT_ASSERT_EQUAL(std::uint64_t(1000), view.members().at("n2").last.incarnation);
+		CPPUNIT_ASSERT_EQUAL(std::uint64_t(1000), view.members().at(node_name("n2")).last.incarnation);
 		m_clock.advance(std::chrono::seconds(2));
 		view.hear(reborn);
-		CPPUNIT_ASSERT_EQUAL(std::uint64_t(10), view.members().at("n2").last.incarnation);
+		CPPUNIT_ASSERT_EQUAL(std::uint64_t(10), view.members().at(node_name("n2")).last.incarnation);
 	}
 
 	void warmup_one_node_of_the_region_sends()
@@ -168,7 +171,7 @@
 		int readers = 0;
 		for (int i = 1; i <= 20; ++i)
 		{
-			readers += view_of("n" + std::to_string(i), 20).reader_rank() < 4 ? 1 : 0;
+			readers += view_of("n" + std::to_string(i), 20).reader().rank < 4 ? 1 : 0;
 		}
 		CPPUNIT_ASSERT_EQUAL(4, readers);
 	}
@@ -180,16 +183,16 @@
 			for (int i = 1; i <= 9; ++i)
 			{
 				fleet view = view_of("n" + std::to_string(i), 9);
-				if (!_troubled.empty() && view.self().node != _troubled)
+				if (!_troubled.empty() && view.self().node.text != _troubled)
 				{
-					edge_heartbeat troubled = node(_troubled);
+					node_heartbeat troubled = node(_troubled);
 					troubled.sequence = 2;
 					troubled.store_reached = false;
 					view.hear(troubled);
 				}
-				if (view.self().node != _troubled && 0 == view.reader_rank())
+				if (view.self().node.text != _troubled && 0 == view.reader().rank)
 				{
-					return view.self().node;
+					return view.self().node.text;
 				}
 			}
 			return std::string();
@@ -208,11 +211,11 @@
 			view.self().store_reached = false;
 			for (int j = 1; j <= 20; ++j)
 			{
-				edge_heartbeat other = node("n" + std::to_string(j));
+				node_heartbeat other = node("n" + std::to_string(j));
 				other.store_reached = false;
 				view.hear(other);
 			}
-			readers += view.reader_rank() < 3 ? 1 : 0;
+			readers += view.reader().rank < 3 ? 1 : 0;
 		}
 		CPPUNIT_ASSERT_EQUAL(3, readers);
 	}
@@ -221,12 +224,12 @@
 	{
 		fleet view = view_of("n1", 3);
 		CPPUNIT_ASSERT(!view.store_answered_at());
-		edge_heartbeat other = node("n2");
+		node_heartbeat other = node("n2");
 		other.sequence = 2;
-		other.store_answer_age_ms = 400;
+		other.store_answer_age = std::chrono::milliseconds(400);
 		view.hear(other);
-		edge_heartbeat far = node("n9", "west");
-		far.store_answer_age_ms = 0;
+		node_heartbeat far = node("n9", "west");
+		far.store_answer_age = std::chrono::milliseconds(0);
 		view.hear(far);
 		CPPUNIT_ASSERT(m_clock.steady() - std::chrono::milliseconds(400) == view.store_answered_at().value());
 	}
--- /dev/null
+++ b/tests/steering_nodes_test.cpp
@@ -0,0 +1,397 @@
+// Copyright 2026 the larkrack developers. All rights reserved.
+// License: BSD 2-Clause, see LICENSE.
+
+#include "fixtures.h"
+
+#include "steering/lookup_answer_p.h"
+#include "steering/node_liveness_p.h"
+#include "steering/shared_budgets_p.h"
+#include "steering/slot_portion_p.h"
+#include "steering/store_readers_p.h"
+
+namespace larkrack
+{
+/// Nodes as their heartbeats tell, in the order of their names.
+class steering_nodes_fixture : public CppUnit::TestFixture
+{
+public:
+	void setUp() override
+	{
+		m_nodes.clear();
+	}
+
+protected:
+	node_heartbeat& add(const std::string& _name, const std::string& _region = "east")
+	{
+		node_heartbeat& one = m_nodes[_name];
+		one.node = node_name(_name);
+		one.region = region_name(_region);
+		one.callers = _name + ":80";
+		one.state = node_state::ready;
+		return one;
+	}
+
+	std::vector<const node_heartbeat*> all_but(const std::string& _name = "") const
+	{
+		std::vector<const node_heartbeat*> some;
+		for (const auto& [name, node] : m_nodes)
+		{
+			if (name != _name)
+			{
+				some.push_back(&node);
+			}
+		}
+		return some;
+	}
+
+	std::map<std::string, node_heartbeat> m_nodes;
+};
+
+class lookup_answer_test : public steering_nodes_fixture
+{
+	CPPUNIT_TEST_SUITE(lookup_answer_test);
+	CPPUNIT_TEST(own_region_with_ready_nodes_names_all_of_them_and_no_others);
+	CPPUNIT_TEST(home_region_first_that_has_any_is_named);
+	CPPUNIT_TEST(any_region_when_neither_has_a_node);
+	CPPUNIT_TEST(none_ready_names_this_node);
+	CPPUNIT_TEST(caller_without_a_region_is_told_all);
+	CPPUNIT_TEST(large_region_names_64_nodes);
+	CPPUNIT_TEST_SUITE_END();
+
+protected:
+	lookup_decision ask(const std::string& _region, const std::vector<region_name>& _homes = {})
+	{
+		return plan_lookup(region_name(_region), _homes, all_but(), "self:80");
+	}
+
+	void own_region_with_ready_nodes_names_all_of_them_and_no_others()
+	{
+		add("n1");
+		add("n2");
+		add("n3", "west");
+		const lookup_decision decision = ask("east", {region_name("west")});
+		CPPUNIT_ASSERT(lookup_reason::own_region == decision.reason);
+		CPPUNIT_ASSERT((std::vector<std::string>{"n1:80", "n2:80"}) == decision.addresses);
+	}
+
+	void home_region_first_that_has_any_is_named()
+	{
+		add("n1", "north");
+		add("n2", "west");
+		const lookup_decision decision = ask("east", {region_name("south"), region_name("west")});
+		CPPUNIT_ASSERT(lookup_reason::home_region == decision.reason);
+		CPPUNIT_ASSERT(std::vector<std::string>{"n2:80"} == decision.addresses);
+	}
+
+	void any_region_when_neither_has_a_node()
+	{
+		add("n1", "north");
+		const lookup_decision decision = ask("east", {region_name("south")});
+		CPPUNIT_ASSERT(lookup_reason::any_region == decision.reason);
+		CPPUNIT_ASSERT(std::vector<std::string>{"n1:80"} == decision.addresses);
+	}
+
+	void none_ready_names_this_node()
+	{
+		const lookup_decision decision = ask("east");
+		CPPUNIT_ASSERT(lookup_reason::none_ready == decision.reason);
+		CPPUNIT_ASSERT(std::vector<std::string>{"self:80"} == decision.addresses);
+	}
+
+	void caller_without_a_region_is_told_all()
+	{
+		add("n1", "north");
+		add("n2", "west");
+		CPPUNIT_ASSERT_EQUAL(std::size_t(2), ask("").addresses.size());
+	}
+
+	void large_region_names_64_nodes()
+	{
+		for (int i = 100; i < 200; ++i)
+		{
+			add("n" + std::to_string(i));
+		}
+		CPPUNIT_ASSERT_EQUAL(std::size_t(64), ask("east").addresses.size());
+	}
+};
+
+class node_liveness_test : public steering_nodes_fixture
+{
+	CPPUNIT_TEST_SUITE(node_liveness_test);
+	CPPUNIT_TEST(interval_grows_with_the_fleet_from_100_ms_on);
+	CPPUNIT_TEST(silence_small_fleet_is_900_ms);
+	CPPUNIT_TEST(silence_large_fleet_is_five_heartbeats_and_four_times_that_for_far_nodes);
+	CPPUNIT_TEST(far_only_in_a_large_fleet_and_another_region);
+	CPPUNIT_TEST(turn_of_far_node_comes_once_in_four);
+	CPPUNIT_TEST(forgotten_after_a_minute);
+	CPPUNIT_TEST(outdated_lower_sequence_or_life_unless_the_former_one_is_silent);
+	CPPUNIT_TEST_SUITE_END();
+
+protected:
+	void interval_grows_with_the_fleet_from_100_ms_on()
+	{
+		CPPUNIT_ASSERT(std::chrono::milliseconds(100) == node_liveness(0).interval());
+		CPPUNIT_ASSERT(std::chrono::milliseconds(100) == node_liveness(12).interval());
+		CPPUNIT_ASSERT(std::chrono::milliseconds(104) == node_liveness(13).interval());
+		CPPUNIT_ASSERT(std::chrono::milliseconds(640) == node_liveness(80).interval());
+	}
+
+	void silence_small_fleet_is_900_ms()
+	{
+		CPPUNIT_ASSERT(std::chrono::milliseconds(900) == node_liveness(9).longest_silence(false));
+	}
+
+	void silence_large_fleet_is_five_heartbeats_and_four_times_that_for_far_nodes()
+	{
+		CPPUNIT_ASSERT(std::chrono::milliseconds(3200) == node_liveness(80).longest_silence(false));
+		CPPUNIT_ASSERT(std::chrono::milliseconds(12800) == node_liveness(80).longest_silence(true));
+	}
+
+	void far_only_in_a_large_fleet_and_another_region()
+	{
+		const region_name east("east");
+		const region_name west("west");
+		CPPUNIT_ASSERT(!node_liveness(23).is_far(east, west));
+		CPPUNIT_ASSERT(node_liveness(24).is_far(east, west));
+		CPPUNIT_ASSERT(!node_liveness(24).is_far(east, east));
+	}
+
+	void turn_of_far_node_comes_once_in_four()
+	{
+		for (int node = 0; node < 20; ++node)
+		{
+			int turns = 0;
+			for (std::uint64_t sequence = 1; sequence <= 8; ++sequence)
+			{
+				const node_name name("n" + std::to_string(node));
+				turns += node_liveness::is_turn_of_far(name, sequence) ? 1 : 0;
+			}
+			CPPUNIT_ASSERT_EQUAL(2, turns);
+		}
+	}
+
+	void forgotten_after_a_minute()
+	{
+		CPPUNIT_ASSERT(!node_liveness::forgotten(std::chrono::seconds(60)));
+		CPPUNIT_ASSERT(node_liveness::forgotten(std::chrono::milliseconds(60001)));
+	}
+
+	void outdated_lower_sequence_or_life_unless_the_former_one_is_silent()
+	{
+		node_heartbeat last;
+		last.incarnation = 1000;
+		last.sequence = 5;
+		node_heartbeat late = last;
+		late.sequence = 4;
+		node_heartbeat reborn;
+		reborn.incarnation = 10;
+		reborn.sequence = 9;
+		CPPUNIT_ASSERT(node_liveness::outdated(late, last, true));
+		CPPUNIT_ASSERT(node_liveness::outdated(reborn, last, true));
+		CPPUNIT_ASSERT(!node_liveness::outdated(reborn, last, false));
+		CPPUNIT_ASSERT(!node_liveness::outdated(last, last, true));
+	}
+};
+
+class store_readers_test : public steering_nodes_fixture
+{
+	CPPUNIT_TEST_SUITE(store_readers_test);
+	CPPUNIT_TEST(reader_three_of_a_region_whatever_the_view);
+	CPPUNIT_TEST(reader_stopping_node_does_not_count);
+	CPPUNIT_TEST(reader_alone_in_its_region_reads);
+	CPPUNIT_TEST(peer_none_knows_more_is_none);
+	CPPUNIT_TEST(peer_of_the_own_region_comes_first);
+	CPPUNIT_TEST(peer_changes_with_the_heartbeats);
+	CPPUNIT_TEST(wait_of_a_reader_is_longer);
+	CPPUNIT_TEST(tell_others_only_where_some_do_not_read);
+	CPPUNIT_TEST_SUITE_END();
+
+protected:
+	void add_east(int _nodes)
+	{
+		for (int i = 10; i < 10 + _nodes; ++i)
+		{
+			add("n" + std::to_string(i));
+		}
+	}
+
+	int readers()
+	{
+		int count = 0;
+		for (const auto& [name, node] : m_nodes)
+		{
+			const reader_decision decision = plan_reader(node, all_but(name));
+			CPPUNIT_ASSERT(decision.reads == (reader_reason::ranks_first == decision.reason));
+			count += decision.reads ? 1 : 0;
+		}
+		return count;
+	}
+
+	void reader_three_of_a_region_whatever_the_view()
+	{
+		add_east(20);
+		CPPUNIT_ASSERT_EQUAL(3, readers());
+	}
+
+	void reader_stopping_node_does_not_count()
+	{
+		add_east(4);
+		const std::string first = [this]
+		{
+			for (const auto& [name, node] : m_nodes)
+			{
+				if (0 == plan_reader(node, all_but(name)).rank)
+				{
+					return name;
+				}
+			}
+			return std::string();
+		}();
+		m_nodes.at(first).state = node_state::stopping;
+		CPPUNIT_ASSERT_EQUAL(4, readers()); // The three others, and itself until it ends.
+	}
+
+	void reader_alone_in_its_region_reads()
+	{
+		add_east(20);
+		add("west1", "west");
+		CPPUNIT_ASSERT(plan_reader(m_nodes.at("west1"), all_but("west1")).reads);
+	}
+
+	void peer_none_knows_more_is_none()
+	{
+		add_east(3);
+		CPPUNIT_ASSERT(nullptr == choose_peer(m_nodes.at("n10"), 0, all_but("n10")));
+	}
+
+	void peer_of_the_own_region_comes_first()
+	{
+		add("n1").store_revision = 5;
+		for (int i = 20; i < 40; ++i)
+		{
+			add("n" + std::to_string(i), "west").store_revision = 9;
+		}
+		node_heartbeat& self = add("n0");
+		CPPUNIT_ASSERT_EQUAL(std::string("n1"), choose_peer(self, 4, all_but("n0"))->node.text);
+		CPPUNIT_ASSERT(region_name("west") == choose_peer(self, 5, all_but("n0"))->region);
+	}
+
+	void peer_changes_with_the_heartbeats()
+	{
+		add_east(10);
+		for (auto& [name, node] : m_nodes)
+		{
+			node.store_revision = 5;
+		}
+		std::map<std::string, int> asked;
+		node_heartbeat& self = m_nodes.at("n10");
+		for (self.sequence = 1; self.sequence <= 100; ++self.sequence)
+		{
+			++asked[choose_peer(self, 4, all_but("n10"))->node.text];
+		}
+		CPPUNIT_ASSERT(asked.size() > 6);
+	}
+
+	void wait_of_a_reader_is_longer()
+	{
+		CPPUNIT_ASSERT(std::chrono::milliseconds(60) == wait_before_asking(false));
+		CPPUNIT_ASSERT(std::chrono::milliseconds(400) == wait_before_asking(true));
+	}
+
+	void tell_others_only_where_some_do_not_read()
+	{
+		CPPUNIT_ASSERT(all_read(2));
+		CPPUNIT_ASSERT(!all_read(3));
+	}
+};
+
+class shared_budgets_test : public CppUnit::TestFixture
+{
+	CPPUNIT_TEST_SUITE(shared_budgets_test);
+	CPPUNIT_TEST(census_keeps_the_most_nodes_ever_seen);
+	CPPUNIT_TEST(connections_are_divided_and_never_none);
+	CPPUNIT_TEST(warmup_has_one_sender_whichever_backend_server);
+	CPPUNIT_TEST(warmup_view_of_half_the_region_is_trusted_less_is_not);
+	CPPUNIT_TEST(warmup_rate_leaves_a_tenth);
+	CPPUNIT_TEST(portions_follow_the_rates_and_sum_up);
+	CPPUNIT_TEST(portion_of_a_node_that_sends_nothing_is_empty_unless_nobody_sends);
+	CPPUNIT_TEST_SUITE_END();
+
+protected:
+	void census_keeps_the_most_nodes_ever_seen()
+	{
+		node_census census;
+		CPPUNIT_ASSERT_DOUBLES_EQUAL(1.0, census.sharers().nodes, 1e-9);
+		census.on_seen(9, 3);
+		census.on_seen(2, 1);
+		CPPUNIT_ASSERT_DOUBLES_EQUAL(9.0, census.sharers().nodes, 1e-9);
+		CPPUNIT_ASSERT_EQUAL(std::size_t(3), census.most_in_region());
+	}
+
+	void connections_are_divided_and_never_none()
+	{
+		CPPUNIT_ASSERT_DOUBLES_EQUAL(2.5, connections_of_node(20, {8.0}), 1e-9);
+		CPPUNIT_ASSERT_DOUBLES_EQUAL(1.0, connections_of_node(20, {80.0}), 1e-9);
+	}
+
+	void warmup_has_one_sender_whichever_backend_server()
+	{
+		const std::vector<node_name> names{node_name("n1"), node_name("n2"), node_name("n3")};
+		const std::vector<const node_name*> nodes{&names[0], &names[1], &names[2]};
+		for (std::uint32_t id_hash = 0; id_hash < 50; ++id_hash)
+		{
+			int chosen = 0;
+			for (const node_name& name : names)
+			{
+				const warmup_decision decision = plan_warmup(name, nodes, 3, id_hash);
+				CPPUNIT_ASSERT(warmup_reason::cut_off != decision.reason);
+				chosen += warmup_reason::chosen == decision.reason ? 1 : 0;
+				CPPUNIT_ASSERT_DOUBLES_EQUAL(
+				    warmup_reason::chosen == decision.reason ? 1.0 : 0.0, decision.part, 1e-9);
+			}
+			CPPUNIT_ASSERT_EQUAL(1, chosen);
+		}
+	}
+
+	void warmup_view_of_half_the_region_is_trusted_less_is_not()
+	{
+		const node_name self("n1");
+		CPPUNIT_ASSERT(warmup_reason::chosen == plan_warmup(self, {&self}, 2, 1).reason);
+		const warmup_decision cut_off = plan_warmup(self, {&self}, 4, 1);
+		CPPUNIT_ASSERT(warmup_reason::cut_off == cut_off.reason);
+		CPPUNIT_ASSERT_DOUBLES_EQUAL(0.25, cut_off.part, 1e-9);
+	}
+
+	void warmup_rate_leaves_a_tenth()
+	{
+		CPPUNIT_ASSERT_DOUBLES_EQUAL(4.5, warmup_rate(10.0, 0.5), 1e-9);
+	}
+
+	void portions_follow_the_rates_and_sum_up()
+	{
+		const node_name first("n1");
+		const node_name second("n2");
+		const slot_portion low = plan_slot_portion(first, 30.0, {{&second, 10.0}});
+		const slot_portion high = plan_slot_portion(second, 10.0, {{&first, 30.0}});
+		CPPUNIT_ASSERT_DOUBLES_EQUAL(0.0, low.begin, 1e-9);
+		CPPUNIT_ASSERT_DOUBLES_EQUAL(0.75, low.end, 1e-9);
+		CPPUNIT_ASSERT_DOUBLES_EQUAL(low.end, high.begin, 1e-9);
+		CPPUNIT_ASSERT_DOUBLES_EQUAL(1.0, high.end, 1e-9);
+	}
+
+	void portion_of_a_node_that_sends_nothing_is_empty_unless_nobody_sends()
+	{
+		const node_name first("n1");
+		const node_name second("n2");
+		const slot_portion none = plan_slot_portion(first, 0.0, {{&second, 10.0}});
+		CPPUNIT_ASSERT_DOUBLES_EQUAL(0.0, none.end - none.begin, 1e-9);
+		const slot_portion all = plan_slot_portion(first, 0.0, {{&second, 0.0}});
+		CPPUNIT_ASSERT_DOUBLES_EQUAL(1.0, all.end - all.begin, 1e-9);
+	}
+};
+
+CPPUNIT_TEST_SUITE_REGISTRATION(lookup_answer_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(node_liveness_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(store_readers_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(shared_budgets_test);
+} // namespace larkrack
