--- a/src/edge/heartbeat.cpp
+++ b/src/edge/heartbeat.cpp
@@ -11,6 +11,7 @@
 {
 /// Layout of the datagram; another one is not understood.
 constexpr int k_layout = 4;
+/// Fields of the datagram, the layout among them.
 constexpr std::size_t k_fields = 17;
 /// Stands for an age that there is none of.
 constexpr std::int64_t k_no_age = -1;
--- a/src/steering/planned_stop_p.h
+++ b/src/steering/planned_stop_p.h
@@ -19,7 +19,7 @@
 ///   in turn (commit a3e231a);
 /// - end at once: callers with an older look-up would find nobody; not measured.
 ///
-/// Relies on: edge_node to ask at each k_stop_step, and the platform to keep to the grace.
+/// Relies on: the node to ask at each k_stop_step, and the platform to keep to the grace.
 #pragma once
 
 #include "../clock_p.h"
