--- a/src/steering/backend_state_p.h
+++ b/src/steering/backend_state_p.h
@@ -4,8 +4,9 @@
 /// @file
 /// What decisions need to know of one backend server; its address and connections are not among it.
 ///
-/// Decides whether a backend server is meant to get new requests (its registration, evacuations, slow start)
-/// and whether it gets them now (outlier ejection besides). How many requests it holds: load_estimate_p.h.
+/// Decides whether a backend server is meant to get new requests (its registration, evacuations, slow
+/// start) and whether it gets them now (outlier ejection besides). How many requests it holds:
+/// load_estimate_p.h.
 ///
 /// Relies on: backend_registry, which owns the objects and puts in what the platform's registry says.
 #pragma once
--- a/src/steering/entry_removal_p.h
+++ b/src/steering/entry_removal_p.h
@@ -4,23 +4,21 @@
 /// @file
 /// Decides when a backend server whose entry vanished from the registry counts as gone.
 ///
-/// Inputs: when this node saw the entry vanish; when its calls to the store began to fail and when the store
-/// answered again, itself or another node of the region (steady clock).
+/// Inputs: when this node saw the entry vanish; when its calls to the store began to fail and when the
+/// store answered again, itself or another node of the region (steady clock).
 ///
-/// Rule: an entry has a lease, and a lease can lapse because its owner left or because the store was away. An
-/// entry that vanished while the store answered is honoured after k_removal_delay. One that vanished during
-/// an outage is kept until owners that live have had time to write it again (k_lapse_repair behind the
-/// store's return), and k_removal_delay_outage at the latest. Outages shorter than k_harmless_outage lapse
-/// nothing. What vanished before the outage goes as always.
+/// Rule: an entry has a lease, and a lease can lapse because its owner left or because the store was away.
+/// An entry that vanished while the store answered is honoured after k_removal_delay. One that vanished
+/// during an outage is kept until owners that live have had time to write it again (k_lapse_repair behind
+/// the store's return), and k_removal_delay_outage at the latest. Outages shorter than k_harmless_outage
+/// lapse nothing. What vanished before the outage goes as always.
 ///
 /// Why not another way:
 /// - at once: the entry of a backend server that renews late would take it out of use; not measured;
-/// - after 1,100 ms: by the sum of all delays on 80 nodes requests could go to it for 2.6 s, near the bound
-/// of
-///   2 to 3 s (commit fed12cc);
+/// - after 1,000 ms: by the sum of all delays on 80 nodes requests could go to it for 2.6 s, near the bound
+///   of 2 to 3 s (commit fed12cc);
 /// - distrust of the store for a fixed time behind each trouble, also a lost history: a backend server that
-/// left
-///   after the outage was kept for 6 s, and 3 requests came 3,166 ms after its entry vanished (commit
+///   left after the outage was kept for 6 s, and 3 requests came 3,166 ms after its entry vanished (commit
 ///   449a22d).
 ///
 /// Relies on: state_replica to ask at each tick and to forget what came back.
--- a/src/steering/lookup_answer_p.h
+++ b/src/steering/lookup_answer_p.h
@@ -7,9 +7,9 @@
 /// Inputs: the region of the caller; the home regions of the host's routes, in the order of the
 /// configuration; the nodes that are ready and live, this one among them if it is ready.
 ///
-/// Rule (failover by locality): all nodes of the caller's region; if there are none, those of the first home
-/// region that has any; if none has, those of all regions; if no node is ready, this one, which serves on
-/// while it stops. At most k_named_addresses.
+/// Rule (failover by locality): all nodes of the caller's region; if there are none, those of the first
+/// home region that has any; if none has, those of all regions; if no node is ready, this one, which serves
+/// on while it stops. At most k_named_addresses.
 ///
 /// Why not another way: naming the nodes of other regions beside those of the caller's region was not
 /// measured.
--- a/src/steering/node_heartbeat_p.h
+++ b/src/steering/node_heartbeat_p.h
@@ -2,8 +2,8 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// What nodes tell each other of themselves: the message that decisions over the fleet read. Its bytes are made
-/// in heartbeat_p.h.
+/// What nodes tell each other of themselves: the message that decisions over the fleet read. Its bytes are
+/// made in heartbeat_p.h.
 #pragma once
 
 #include "names_p.h"
--- a/src/steering/node_liveness_p.h
+++ b/src/steering/node_liveness_p.h
@@ -8,17 +8,17 @@
 /// sequence number of the own heartbeat; incarnation and sequence of a heartbeat that comes in.
 ///
 /// Rule (heartbeats with a timeout): the interval grows with the fleet, so that the datagrams that a node
-/// gets a second do not. In a large fleet nodes of other regions get one heartbeat of k_far_rounds, at turns
-/// that differ by node. A node counts as live while its silence is shorter than k_silent_heartbeats of the
-/// intervals at which it sends here, and k_silent at least. A look-up names it until then.
+/// gets a second do not. In a large fleet nodes of other regions get one heartbeat of k_far_rounds, at
+/// turns that differ by node. A node counts as live while its silence is shorter than k_silent_heartbeats
+/// of the intervals at which it sends here, and k_silent at least. A look-up names it until then.
 ///
 /// Why not another way:
-/// - heartbeats to far nodes as often as to near ones: bytes between regions cost, and far news is old anyway
-///   (commit 77d415c);
+/// - heartbeats to far nodes as often as to near ones: bytes between regions cost, and far news is old
+///   anyway (commit 77d415c);
 /// - gossip of suspicion, or asking others before a node counts as dead: not measured.
 ///
-/// Relies on: all nodes seeing about the same number of nodes, since each derives the interval of the others
-/// from its own view.
+/// Relies on: all nodes seeing about the same number of nodes, since each derives the interval of the
+/// others from its own view.
 #pragma once
 
 #include "node_heartbeat_p.h"
--- a/src/steering/outlier_ejection_p.h
+++ b/src/steering/outlier_ejection_p.h
@@ -6,17 +6,16 @@
 ///
 /// Inputs: how each exchange of this node with the backend server ended; the time (steady clock).
 ///
-/// Rule (passive outlier ejection): a connection that can not be had ejects at once, lost answers after three
-/// in a row. The time doubles with each further failure in a row, up to a bound; the backend server returns
-/// by itself when it is over, and the next answer sets the count to zero. A refusal for want of a slot is no
-/// failure.
+/// Rule (passive outlier ejection): a connection that can not be had ejects at once, lost answers after
+/// three in a row. The time doubles with each further failure in a row, up to a bound; the backend server
+/// returns by itself when it is over, and the next answer sets the count to zero. A refusal for want of a
+/// slot is no failure.
 ///
 /// Why not another way:
 /// - active health checks: each takes a slot, and answers, refusals and lost connections tell more
 ///   (docs/EDGE.md, "Known limits"); not measured;
 /// - ejection by the share of failed answers: not measured. A backend server that fails a part of its
-/// requests
-///   is met by retries alone.
+///   requests is met by retries alone.
 ///
 /// Relies on: each exchange telling its end once. Each node decides for itself; nothing is told to others.
 #pragma once
--- a/src/steering/planned_stop_p.h
+++ b/src/steering/planned_stop_p.h
@@ -4,19 +4,18 @@
 /// @file
 /// Decides the steps of a planned stop (graceful shutdown) of a node.
 ///
-/// Inputs: time since the stop was asked for; the grace, which is the time from then to the kill; whether any
-/// request is open; time since the last request came (steady clock).
+/// Inputs: time since the stop was asked for; the grace, which is the time from then to the kill; whether
+/// any request is open; time since the last request came (steady clock).
 ///
 /// Rule: at once the node is not ready, is left out of look-ups, and its answers close their connections;
-/// that is what the state "stopping" does. Idle connections are closed after k_stop_close_idle, when look-ups
-/// have led callers elsewhere. From k_stop_refuse_part of the grace on new requests are refused as not run.
-/// The process ends when it has been quiet for k_stop_quiet, not before k_stop_earliest, and k_stop_margin
-/// before the kill in any case.
+/// that is what the state "stopping" does. Idle connections are closed after k_stop_close_idle, when
+/// look-ups have led callers elsewhere. From k_stop_refuse_part of the grace on new requests are refused as
+/// not run. The process ends when it has been quiet for k_stop_quiet, not before k_stop_earliest, and
+/// k_stop_margin before the kill in any case.
 ///
 /// Why not another way:
 /// - requests taken until half a second before the end: they were broken off, 20 lost on a day of planned
-/// stops
-///   in turn (commit a3e231a);
+///   stops in turn (commit a3e231a);
 /// - end at once: callers with an older look-up would find nobody; not measured.
 ///
 /// Relies on: the node to ask at each k_stop_step, and the platform to keep to the grace.
--- a/src/steering/shared_budgets_p.h
+++ b/src/steering/shared_budgets_p.h
@@ -10,14 +10,14 @@
 ///
 /// Rule:
 /// - Retries and connections are divided by the most nodes ever seen at once. A node that falls silent may
-/// only
-///   be cut off and goes on spending, so its part is not given to others.
-/// - A cold backend server gets requests from one node of its region, chosen by rendezvous hashing, which has
-///   the whole rate. A node that sees less than half of its region can not trust that choice and takes 1/n.
+///   only be cut off and goes on spending, so its part is not given to others.
+/// - A cold backend server gets requests from one node of its region, chosen by rendezvous hashing, which
+///   has the whole rate. A node that sees less than half of its region can not trust that choice and takes
+///   1/n.
 ///
 /// Why not another way:
-/// - each node its part of the rate of a cold backend server: every node began with a token, and 16 requests
-///   came in a second where 13.2 were allowed (commit 77d415c);
+/// - each node its part of the rate of a cold backend server: every node began with a token, and 16
+///   requests came in a second where 13.2 were allowed (commit 77d415c);
 /// - division by the nodes that are seen now: a split of the network would let both sides spend everything;
 ///   not measured.
 ///
--- a/src/steering/slot_portion_p.h
+++ b/src/steering/slot_portion_p.h
@@ -8,15 +8,14 @@
 /// heartbeats tell them; the names of the nodes.
 ///
 /// Rule: each node has a part of [0, 1) in proportion to what it sends; the parts lie side by side in the
-/// order of the nodes' names, so they sum up to all slots. A part that is no whole number of slots is rounded
-/// at a place that differs from one backend server to the next (by the hash of its id), so the nodes take
-/// turns. A node that sends nothing there has no part; when nobody sends anything, each has all.
+/// order of the nodes' names, so they sum up to all slots. A part that is no whole number of slots is
+/// rounded at a place that differs from one backend server to the next (by the hash of its id), so the
+/// nodes take turns. A node that sends nothing there has no part; when nobody sends anything, each has all.
 ///
 /// Why not another way (docs/EDGE.md, "Direct sending"):
 /// - estimated load alone: when it is too high by old news, free slots stay unused. Own slots and the
-/// estimate
-///   together came with commit 1cc0cac (ondaraiz-portal 0.578 to 0.893); a change of the counting alone had
-///   0.603 there;
+///   estimate together came with commit 1cc0cac (ondaraiz-portal 0.578 to 0.893); a change of the counting
+///   alone had 0.603 there;
 /// - equal parts for all nodes: not measured.
 ///
 /// Relies on: nodes having heard each other's rates. For one heartbeat after a change parts may overlap.
--- a/src/steering/store_pacing_p.h
+++ b/src/steering/store_pacing_p.h
@@ -8,14 +8,13 @@
 /// Inputs: tries in a row that failed; a random generator of the node's own; the answer to a renewal.
 ///
 /// Rule: exponential back-off with jitter; a pause is drawn between half of the bound and the bound, which
-/// doubles with each try. A node registers under a lease and renews it at a third of its life; when the store
-/// says that the lease has lapsed, it registers anew. A reader collects changes for k_batch_pause, so that
-/// many cost one call.
+/// doubles with each try. A node registers under a lease and renews it at a third of its life; when the
+/// store says that the lease has lapsed, it registers anew. A reader collects changes for k_batch_pause, so
+/// that many cost one call.
 ///
 /// Why not another way (docs/EDGE.md, "State"):
 /// - a call for each change: prices 0.181 and worth 0.701 on quiet-1 of ondaraiz-portal-grown; collected,
-/// with
-///   three readers in place of four: 0.155 and 0.726 (commit 4952940);
+///   with three readers in place of four: 0.155 and 0.726 (commit 4952940);
 /// - leases of 10 s, renewed every 3.5 s: more calls (commit 4952940; not measured alone).
 ///
 /// Relies on: store_readers for whether the node reads at all.
--- a/src/steering/store_readers_p.h
+++ b/src/steering/store_readers_p.h
@@ -4,23 +4,22 @@
 /// @file
 /// Decides which nodes read the store, and how a node that knows less than others catches up.
 ///
-/// Inputs: heartbeats of this node and of the live ones (region, state, whether the store answered their last
-/// call, revision up to which they know its keys).
+/// Inputs: heartbeats of this node and of the live ones (region, state, whether the store answered their
+/// last call, revision up to which they know its keys).
 ///
 /// Rule: the nodes of a region are ranked by rendezvous hashing; the first k_region_readers read the store
 /// and tell the others. Nodes whose last call failed rank behind the others: in an outage each tries once,
-/// and the first few go on alone. A node that hears of a newer revision waits a moment for the datagrams that
-/// may be on their way, then asks a node that has it: one of its region if there is any, chosen by a hash
-/// that changes with each heartbeat, so that a few are not asked by all.
+/// and the first few go on alone. A node that hears of a newer revision waits a moment for the datagrams
+/// that may be on their way, then asks a node that has it: one of its region if there is any, chosen by a
+/// hash that changes with each heartbeat, so that a few are not asked by all.
 ///
 /// Why not another way (docs/EDGE.md, "State"):
 /// - every node reads: 0.36 of a day's worth for calls on quiet-1 of verhaegen-pod-grown (80 nodes), score
-/// 0.19;
-///   four of a region: 0.057 and 0.88 (commit 77d415c);
+///   0.19; four of a region: 0.057 and 0.88 (commit 77d415c);
 /// - four of a region with a call for each change: prices 0.181 and worth 0.701 on quiet-1 of
 ///   ondaraiz-portal-grown; three, with changes collected: 0.155 and 0.726 (commit 4952940);
 /// - in an outage, ranking only those that claim to reach the store: every node went on calling (commit
-/// 4952940).
+///   4952940).
 ///
 /// Relies on: node_liveness for who is live.
 #pragma once
