--- a/tests/forwarder_test.cpp
+++ b/tests/forwarder_test.cpp
@@ -236,7 +236,7 @@
 		const caller_response response =
 		    ask(request("POST", "/pay/1", "r1", "", std::string(16UL * 1024 * 1024, 'x')));
 		CPPUNIT_ASSERT_EQUAL(400U, response.result_int());
-		CPPUNIT_ASSERT(m_registry->find("early")->idle.empty());
+		CPPUNIT_ASSERT(0 == m_registry->find(backend_id("early"))->idle_connections);
 	}
 
 	static std::shared_ptr<const routing_table> large_body_routes()
@@ -266,7 +266,7 @@
 			    return 1 == backend.closed_by_peer;
 		    });
 		CPPUNIT_ASSERT_EQUAL(std::size_t(0), m_forwarder->in_flight());
-		CPPUNIT_ASSERT_EQUAL(0, m_registry->find("b1")->in_flight);
+		CPPUNIT_ASSERT_EQUAL(0, m_registry->find(backend_id("b1"))->load.in_flight);
 	}
 
 	void failure_of_a_backend_server_keeps_its_status_and_signature()
@@ -301,7 +301,7 @@
 	{
 		set_routes();
 		add_backend("b1", 1);
-		m_registry->find("b1")->in_flight = 1;
+		m_registry->find(backend_id("b1"))->load.in_flight = 1;
 		raw_caller waiting = call();
 		waiting.send(request("GET", "/read/1", "r2"));
 		run_until(*m_context,
@@ -309,7 +309,7 @@
 		    {
 			    return 1 == m_forwarder->counters().queued;
 		    });
-		m_registry->find("b1")->in_flight = 0;
+		m_registry->find(backend_id("b1"))->load.in_flight = 0;
 		m_forwarder->pump();
 		CPPUNIT_ASSERT_EQUAL(200U, waiting.receive().result_int());
 	}
--- a/tests/state_replica_test.cpp
+++ b/tests/state_replica_test.cpp
@@ -263,10 +263,10 @@
 		remove("backend/b2", 5);
 		CPPUNIT_ASSERT(other->apply(m_replica->changes_after(3)));
 		CPPUNIT_ASSERT_EQUAL(std::int64_t(5), other->revision());
-		CPPUNIT_ASSERT(registry->find(backend_id("b1"))->record.draining);
+		CPPUNIT_ASSERT(registry->find(backend_id("b1"))->registered.draining);
 		m_clock.advance(std::chrono::milliseconds(1100));
 		other->tick();
-		CPPUNIT_ASSERT(nullptr == registry->find("b2"));
+		CPPUNIT_ASSERT(nullptr == registry->find(backend_id("b2")));
 	}
 
 	void changes_with_a_gap_are_taken_and_leave_the_revision()
@@ -276,15 +276,15 @@
 		changes.after = 3;
 		changes.batch = {{item("backend/b2", "ready", 4)}, {}, 4};
 		CPPUNIT_ASSERT(!m_replica->apply(changes));
-		CPPUNIT_ASSERT(nullptr != m_registry->find("b2"));
+		CPPUNIT_ASSERT(nullptr != m_registry->find(backend_id("b2")));
 		CPPUNIT_ASSERT_EQUAL(std::int64_t(2), m_replica->revision());
 		// What was missing comes later and changes nothing that is newer.
 		store_changes missing;
 		missing.after = 2;
 		missing.batch = {{item("backend/b1", "draining", 3)}, {}, 4};
 		CPPUNIT_ASSERT(m_replica->apply(missing));
-		CPPUNIT_ASSERT(m_registry->find(backend_id("b1"))->record.draining);
-		CPPUNIT_ASSERT(nullptr != m_registry->find("b2"));
+		CPPUNIT_ASSERT(m_registry->find(backend_id("b1"))->registered.draining);
+		CPPUNIT_ASSERT(nullptr != m_registry->find(backend_id("b2")));
 		CPPUNIT_ASSERT_EQUAL(std::int64_t(4), m_replica->revision());
 	}
 
