--- a/src/clock.cpp
+++ b/src/clock.cpp
@@ -14,19 +14,4 @@
 {
 	return std::chrono::time_point_cast<std::chrono::microseconds>(std::chrono::system_clock::now());
 }
-
-steady_time clock_virtual::steady() const
-{
-	return steady_time(m_now);
-}
-
-wall_time clock_virtual::wall() const
-{
-	return wall_time(m_now);
-}
-
-void clock_virtual::advance(std::chrono::microseconds _by)
-{
-	m_now += _by;
-}
 } // namespace larkrack
--- a/src/clock_p.h
+++ b/src/clock_p.h
@@ -41,20 +41,6 @@
 	wall_time wall() const override;
 };
 
-/// A clock that stands still until it is told to go on.
-class clock_virtual : public clock_base
-{
-public:
-	steady_time steady() const override;
-	wall_time wall() const override;
-	/// Moves both times on.
-	/// @param[in] _by Interval.
-	void advance(std::chrono::microseconds _by);
-
-private:
-	std::chrono::microseconds m_now{std::chrono::hours(24 * 365 * 50)};
-};
-
 /// @returns Microseconds since the clock's start.
 template <typename Time>
 std::int64_t to_us(Time _time)
--- a/src/store_p.h
+++ b/src/store_p.h
@@ -137,42 +137,6 @@
 	std::map<std::string, std::uint64_t> m_calls;
 };
 
-/// Data and rules of a key-value service, without any transport. Also the heart of the platform stand-in.
-class store_engine
-{
-public:
-	/// @param[in] _prefix Whether all keys that start with the key are meant.
-	std::vector<store_value> range(const std::string& _key, bool _prefix) const;
-	txn_reply txn(const std::vector<store_compare>& _conditions, const std::vector<store_write>& _writes);
-	std::int64_t lease_grant(std::chrono::seconds _ttl, steady_time _now);
-	/// @returns Time to live; 0 when there is no such lease.
-	std::chrono::seconds lease_keep_alive(std::int64_t _id, steady_time _now);
-	void lease_revoke(std::int64_t _id);
-	/// Removes leases that have lapsed, and their keys.
-	void tick(steady_time _now);
-	/// @returns Revision of the newest change.
-	std::int64_t revision() const
-	{
-		return m_revision;
-	}
-	/// @returns Changes from a revision on.
-	std::vector<watch_batch> changes(const std::string& _prefix, std::int64_t _from) const;
-
-private:
-	struct lease
-	{
-		std::chrono::seconds ttl{0};
-		steady_time ends{};
-	};
-	void apply(const std::vector<store_write>& _writes);
-
-	std::map<std::string, store_value> m_values;
-	std::map<std::int64_t, lease> m_leases;
-	std::vector<std::pair<std::int64_t, std::vector<store_write>>> m_log;
-	std::int64_t m_revision = 1;
-	std::int64_t m_next_lease = 1000;
-};
-
 /// The platform over the etcd v3 JSON gateway.
 class store_http : public store_base
 {
@@ -209,32 +173,6 @@
 	bool m_cut = false;
 };
 
-/// A store in the same process. For tests.
-class store_memory : public store_base
-{
-public:
-	store_memory(store_engine& _engine, const clock_base& _clock) : m_engine(_engine), m_clock(_clock)
-	{
-	}
-	range_reply range(
-	    const char* _use, const std::string& _key, bool _prefix, const yield_context& _yield) override;
-	txn_reply txn(const char* _use, const std::vector<store_compare>& _conditions,
-	    const std::vector<store_write>& _writes, const yield_context& _yield) override;
-	lease_reply lease_grant(
-	    const char* _use, std::chrono::seconds _ttl, const yield_context& _yield) override;
-	lease_reply lease_keep_alive(const char* _use, std::int64_t _id, const yield_context& _yield) override;
-	lease_reply lease_revoke(const char* _use, std::int64_t _id, const yield_context& _yield) override;
-	watch_end watch(const char* _use, const std::string& _prefix, std::int64_t _from,
-	    const std::function<bool(const watch_batch&)>& _on_batch, const yield_context& _yield) override;
-
-	bool down = false;    ///< Calls end as not done.
-	int lose_answers = 0; ///< So many next writes take effect and end as unsure.
-
-private:
-	store_engine& m_engine;
-	const clock_base& m_clock;
-};
-
 /// @returns An integer of the gateway's JSON, which may be a string, and which is left out when it is 0, as
 /// protobuf asks.
 std::int64_t integer_field(const nlohmann::json& _object, const char* _field);
--- a/src/testing/callers_p.h
+++ b/src/testing/callers_p.h
@@ -4,6 +4,8 @@
 /// @file
 /// Callers as the load tool plays them: look-ups that are cached, requests, second tries, and a history of
 /// all.
+/// Owns: cached look-ups, kept connections, the keys of payments. Relies on: a deployment for the addresses
+/// of the entry VMs, and a history to write to.
 #pragma once
 
 #include "deployment_p.h"
--- a/src/testing/checker_p.h
+++ b/src/testing/checker_p.h
@@ -3,6 +3,7 @@
 
 /// @file
 /// Judges histories: each promise of the system against what callers and backend servers wrote down.
+/// Owns: nothing. Relies on: the clocks of all writers, which are one clock where all run on one host.
 #pragma once
 
 #include "deployment_p.h"
--- a/src/testing/deployment_p.h
+++ b/src/testing/deployment_p.h
@@ -3,6 +3,7 @@
 
 /// @file
 /// Description of a deployment for tools: where everything listens and what belongs to what.
+/// Owns: nothing. Relies on: `deployment.json` of an example, which `scripts/make-examples` writes.
 #pragma once
 
 #include "settings_p.h"
--- a/src/testing/fake_backend_p.h
+++ b/src/testing/fake_backend_p.h
@@ -4,6 +4,7 @@
 /// @file
 /// The backend server stand-in: slots, connections, cold start, shedding, cancellation, deadlines, and a log
 /// of runs.
+/// Owns: its runs in flight and its faults. Relies on: a history that takes a line for each run.
 #pragma once
 
 #include "history_p.h"
--- a/src/testing/fake_platform_p.h
+++ b/src/testing/fake_platform_p.h
@@ -3,9 +3,10 @@
 
 /// @file
 /// The platform stand-in: a store engine behind HTTP, with faults that are set at run time.
+/// Owns: the store's data, the list of VMs, the faults. Relies on: nothing outside its process.
 #pragma once
 
-#include "store_p.h"
+#include "store_engine_p.h"
 
 namespace larkrack
 {
--- a/src/testing/history_p.h
+++ b/src/testing/history_p.h
@@ -3,6 +3,7 @@
 
 /// @file
 /// Histories: one JSON object a line, written by callers and by backend servers, read by larkrack-check.
+/// Owns: the file that it writes. Relies on: nothing. A file that can not be opened reads as empty.
 #pragma once
 
 #include <nlohmann/json.hpp>
--- a/src/testing/pattern_p.h
+++ b/src/testing/pattern_p.h
@@ -2,7 +2,8 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Bodies whose every byte tells whose they are, for the stand-ins and the load tool.
+/// Bodies whose every byte tells whose they are, so that callers notice bytes of another answer.
+/// Owns: one period of the text. Relies on: xxhash, the same on both sides.
 #pragma once
 
 #include <cstddef>
--- a/tests/fixtures.h
+++ b/tests/fixtures.h
@@ -5,7 +5,7 @@
 /// What several fixtures use.
 #pragma once
 
-#include "clock_p.h"
+#include "clock_virtual_p.h"
 #include "http_p.h"
 #include "policy_p.h"
 
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -8,6 +8,7 @@
 
 #include "fake_platform_p.h"
 #include "platform_sync_p.h"
+#include "store_memory_p.h"
 
 namespace larkrack
 {
