--- a/src/chooser.cpp
+++ b/src/chooser.cpp
@@ -11,18 +11,6 @@
 	{
 		return create_chooser_own_count();
 	}
-	if ("round_robin" == _name)
-	{
-		return create_chooser_round_robin();
-	}
-	if ("least_connections" == _name)
-	{
-		return create_chooser_least_connections();
-	}
-	if ("two_random" == _name)
-	{
-		return create_chooser_two_random();
-	}
-	return nullptr;
+	return create_chooser_plain(_name);
 }
 } // namespace larkrack
--- a/src/chooser_p.h
+++ b/src/chooser_p.h
@@ -2,7 +2,9 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Choice of a backend server among those that an entry VM owns.
+/// Choice of a backend server among those that an entry VM of `larkrackd` owns.
+/// Owns: the rules, one for each value of the setting `chooser`. Relies on: the gate, which counts what runs
+/// and passes only candidates that have a slot in use or free.
 #pragma once
 
 #include <cstddef>
@@ -35,7 +37,7 @@
 
 	/// @returns Index of the chosen candidate, or k_no_choice.
 	virtual std::size_t choose(const std::vector<candidate>& _candidates) = 0;
-	/// @returns Whether the rule keeps to the counted slots; the plain ways do not.
+	/// @returns Whether the rule keeps to the counted slots; those of create_chooser_plain do not.
 	virtual bool keeps_to_slots() const = 0;
 };
 
@@ -44,7 +46,6 @@
 std::unique_ptr<chooser_base> create_chooser(const std::string& _name);
 
 std::unique_ptr<chooser_base> create_chooser_own_count();
-std::unique_ptr<chooser_base> create_chooser_round_robin();
-std::unique_ptr<chooser_base> create_chooser_least_connections();
-std::unique_ptr<chooser_base> create_chooser_two_random();
+/// @returns One of the rules that `own_count` is compared with, or null.
+std::unique_ptr<chooser_base> create_chooser_plain(const std::string& _name);
 } // namespace larkrack
