--- a/src/gate.cpp
+++ b/src/gate.cpp
@@ -349,21 +349,6 @@
 	return m_by_name.end() == it ? 0 : it->second->running;
 }
 
-int gate::in_flight() const
-{
-	const std::lock_guard<std::mutex> lock(m_mutex);
-	int sum = 0;
-	for (const auto& [name, state] : m_by_name)
-	{
-		sum += state->running;
-	}
-	for (const auto& [name, pool] : m_pools)
-	{
-		sum += static_cast<int>(pool.queue.size());
-	}
-	return sum;
-}
-
 std::vector<backend_state> gate::states() const
 {
 	const std::lock_guard<std::mutex> lock(m_mutex);
--- a/src/gate_p.h
+++ b/src/gate_p.h
@@ -148,8 +148,6 @@
 	std::map<std::string, service_headroom> headroom(steady_time _now) const;
 	/// @returns Requests that run at a backend server, or may run.
 	int running(const std::string& _backend) const;
-	/// @returns Requests that run anywhere from here, and those that wait.
-	int in_flight() const;
 	/// @returns Copies of all states.
 	std::vector<backend_state> states() const;
 	/// Stops or resumes all admissions, as after a pause of the process until ownership is confirmed.
