--- a/tests/forms/backend_request_form_test.cpp
+++ b/tests/forms/backend_request_form_test.cpp
@@ -90,9 +90,9 @@
 		m_taker->answer = "HTTP/1.1 200 OK\r\nLarkrack-Request-Id: r1\r\nLarkrack-Signature: s\r\n"
 		                  "Content-Length: 4\r\n\r\nfine";
 		backend_record record;
-		record.id = "b1";
-		record.service = "shop";
-		record.domain = "east-a";
+		record.id = backend_id("b1");
+		record.service = service_name("shop");
+		record.domain = domain_name("east-a");
 		record.slots = 3;
 		record.address = m_taker->address();
 		m_registry->put(record, m_clock.steady());
--- a/tests/forms/daemon_node_forms.h
+++ b/tests/forms/daemon_node_forms.h
@@ -79,7 +79,7 @@
 		clock = add(std::make_unique<clock_virtual>());
 		add(std::make_unique<settings_service>(own));
 		counted = add(std::make_unique<metrics>());
-		add(std::make_unique<view_board>());
+		add(std::make_unique<view_publisher>());
 		slots = add(std::make_unique<gate>("own_count"));
 		add(std::make_unique<key_table>());
 		store = add(std::make_unique<faulty_store>(engine, *clock));
--- a/tests/forms/daemon_signatures_forms_test.cpp
+++ b/tests/forms/daemon_signatures_forms_test.cpp
@@ -94,7 +94,7 @@
 			services.add(std::make_unique<settings_service>(own));
 			services.add(std::make_unique<metrics>());
 			services.add(std::make_unique<tracer_service>(_context));
-			services.add(std::make_unique<view_board>());
+			services.add(std::make_unique<view_publisher>());
 			services.add(std::make_unique<gate>("own_count"));
 			services.add(std::make_unique<key_table>());
 			services.init();
@@ -133,7 +133,7 @@
 			service_view service;
 			service.plan = plan_mix({1.0 / 3, 1.0 / 3, 1.0 / 3}, {1.0, 0.0, 0.0});
 			view->services = {service};
-			services.find<view_board>("view_board")->publish(view);
+			services.find<view_publisher>("view_publisher")->publish(view);
 		}
 
 		kernel services;
