--- a/src/steering/routing_table_p.h
+++ b/src/steering/routing_table_p.h
@@ -59,7 +59,6 @@
 struct routed_service
 {
 	std::string name;
-	std::string health_path;
 	int max_connections = 0; ///< Connections that one backend server takes from all callers; 0: no limit.
 	double warmup_requests_per_s = 0.0; ///< What a cold backend server bears; 0: no limit.
 };
@@ -67,7 +66,8 @@
 /// Bounds on what a caller may send, and how long it may take.
 struct caller_limits
 {
-	std::uint32_t header_bytes = 16U * 1024U;
+	std::uint32_t header_bytes =
+	    16U * 1024U; ///< The values here hold for limits that a configuration leaves out.
 	std::uint64_t body_bytes = 8ULL * 1024 * 1024;
 	std::chrono::milliseconds header_timeout{10000};
 	std::chrono::milliseconds idle_timeout{15000};
--- a/tests/forwarder_test.cpp
+++ b/tests/forwarder_test.cpp
@@ -244,7 +244,7 @@
 		caller_limits limits;
 		limits.body_bytes = 64UL * 1024 * 1024;
 		return std::make_shared<const routing_table>(
-		    2, routes(1)->routes(), std::vector<routed_service>{{"shop", "", 0, 0.0}}, limits);
+		    2, routes(1)->routes(), std::vector<routed_service>{{"shop", 0, 0.0}}, limits);
 	}
 
 	void caller_leaves_work_is_cancelled()
