--- a/src/edge/http_listener.cpp
+++ b/src/edge/http_listener.cpp
@@ -7,10 +7,20 @@
 {
 namespace
 {
-/// First piece that a body is read in; a connection at rest holds no more.
+// The constants came with the first version of the file; none of them was measured by itself.
+
+/// Bytes of buffer that an idle connection keeps: memory at rest against an allocation for each request.
 constexpr std::size_t k_buffer_kept = 4096;
+/// Pause after a failed accept: new callers wait so long against a loop that takes the whole core.
 constexpr std::chrono::milliseconds k_accept_pause{20};
+/// Longest time for an answer to leave: a slow caller's download against a connection that one who stopped
+/// reading holds.
 constexpr std::chrono::milliseconds k_write_timeout{20000};
+/// After the last answer on a connection, the time for the caller to close it: descriptors against answers
+/// that a reset would take from a slow caller.
+constexpr std::chrono::milliseconds k_close_timeout{1000};
+/// Bytes that are read and thrown away meanwhile, at most.
+constexpr std::size_t k_drained_bytes = 512;
 
 /// @returns Whether the framing of a request can not be taken for another one by any server behind.
 bool plain_framing(const http::request<http::string_body>& _request)
@@ -34,7 +44,7 @@
 
 void caller_session::start()
 {
-	beast::error_code ignored;
+	beast::error_code ignored; // Without the option small packets are only slower.
 	m_socket.set_option(tcp::no_delay(true), ignored);
 	m_listener.m_sessions.insert(this);
 	wait_request();
@@ -144,6 +154,7 @@
 	if (beast::iequals(m_parser->get()[http::field::expect], "100-continue") && !m_parser->is_done())
 	{
 		const auto text = std::make_shared<std::string>("HTTP/1.1 100 Continue\r\n\r\n");
+		// An error needs no handling here: the read of the body meets it too.
 		asio::async_write(m_socket, asio::buffer(*text),
 		    [self = shared_from_this(), text](beast::error_code, std::size_t)
 		    {
@@ -211,7 +222,7 @@
 		    {
 			    return;
 		    }
-		    beast::error_code error;
+		    beast::error_code error; // With one, the connection is of no more use, as at its end.
 		    if (self->m_socket.available(error) > 0 && !error)
 		    {
 			    return; // The next request; it waits for its turn.
@@ -272,23 +283,28 @@
 	}
 	if (!m_keep_alive)
 	{
-		// The caller closes after it has read the answer; a reset could take the answer from it.
-		m_phase = phase::idle;
-		++m_request_number;
-		beast::error_code ignored;
-		m_socket.shutdown(tcp::socket::shutdown_send, ignored);
-		arm(std::chrono::milliseconds(1000));
-		const auto drain = std::make_shared<std::array<char, 512>>();
-		m_socket.async_read_some(asio::buffer(*drain),
-		    [self = shared_from_this(), drain](beast::error_code, std::size_t)
-		    {
-			    self->close();
-		    });
+		close_after_caller();
 		return;
 	}
 	wait_request();
 }
 
+void caller_session::close_after_caller()
+{
+	// The caller closes after it has read the answer; a reset could take the answer from it.
+	m_phase = phase::idle;
+	++m_request_number;
+	beast::error_code ignored; // The connection ends in any case.
+	m_socket.shutdown(tcp::socket::shutdown_send, ignored);
+	arm(k_close_timeout);
+	const auto drained = std::make_shared<std::array<char, k_drained_bytes>>();
+	m_socket.async_read_some(asio::buffer(*drained),
+	    [self = shared_from_this(), drained](beast::error_code, std::size_t)
+	    {
+		    self->close();
+	    });
+}
+
 void caller_session::close()
 {
 	if (m_closed)
@@ -299,7 +315,7 @@
 	m_busy = false;
 	m_listener.m_sessions.erase(this);
 	m_timer.cancel();
-	beast::error_code ignored;
+	beast::error_code ignored; // Nothing is left to be done with the connection.
 	m_socket.close(ignored);
 	if (m_on_leave)
 	{
@@ -311,7 +327,7 @@
 
 void caller_session::close_if_idle()
 {
-	beast::error_code error;
+	beast::error_code error; // With one, nothing is available and the connection is closed, as it should be.
 	if (phase::idle == m_phase && 0 == m_socket.available(error))
 	{
 		close();
@@ -381,7 +397,7 @@
 
 void http_listener::stop_accepting()
 {
-	beast::error_code ignored;
+	beast::error_code ignored; // It is not used again.
 	m_acceptor.close(ignored);
 	m_accept_pause.cancel();
 }
--- a/src/edge/http_listener_p.h
+++ b/src/edge/http_listener_p.h
@@ -2,7 +2,10 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// HTTP/1.1 towards callers, by callbacks: one request at a time on a connection.
+/// HTTP/1.1 towards callers, by callbacks: one request at a time on a connection. Owns the listening socket;
+/// each session owns itself by its pending operations. Relies on the handler to answer each request once.
+/// Connections that callers break are closed without a log line: that is ordinary, and the forwarder counts
+/// callers who leave before their answer.
 #pragma once
 
 #include "routing_table_p.h"
@@ -71,6 +74,8 @@
 	void arm(std::chrono::milliseconds _timeout);
 	void on_timeout();
 	void on_sent(beast::error_code _error);
+	/// Ends the connection once the caller has closed it, or after a moment.
+	void close_after_caller();
 
 	tcp::socket m_socket;
 	http_listener& m_listener;
--- a/src/edge/upstream.cpp
+++ b/src/edge/upstream.cpp
@@ -13,18 +13,32 @@
 {
 namespace
 {
+// The constants came with the first version of the file; none of them was measured by itself.
+
+/// Bytes of an answer's body: not limited, since a download may have any length.
 constexpr std::uint64_t k_any_length = INT64_MAX;
+/// Bytes of buffer that an idle connection keeps: memory at rest against an allocation for each exchange.
 constexpr std::size_t k_buffer_kept = 4096;
-/// A connection is dropped this long before the backend server would close it.
+/// A connection is dropped this long before the backend server would close it: a new connection more often
+/// against a request that meets a closing one.
 constexpr std::chrono::milliseconds k_rest_margin{1000};
+/// Time for which a backend server that states no Keep-Alive timeout is taken to keep a connection.
 constexpr std::chrono::milliseconds k_rest_default{4000};
-/// A request that may run once only does not use a connection that rested longer.
+/// A request that may run once only does not use a connection that rested longer: a connect more often
+/// against an answer that is lost for good, since such a request is not repeated.
 constexpr std::chrono::milliseconds k_rest_at_most_once{1500};
-/// Idle connections to one backend server.
+/// For all other requests: longer than any rest.
+constexpr std::chrono::hours k_rest_repeatable{1};
+/// Idle connections to one backend server: descriptors and memory against connects after a burst.
 constexpr int k_idle_connections = 16;
-/// Late answers to earlier requests that are passed over on one connection.
+/// Late answers to earlier requests that are passed over in one exchange: a stuck peer must not hold it.
 constexpr int k_foreign_answers = 2;
 
+bool has(const caller_response& _response, const std::string& _name)
+{
+	return _response.end() != _response.find(_name);
+}
+
 std::chrono::milliseconds keep_alive_of(const caller_response& _response)
 {
 	const std::string value(_response[http::field::keep_alive]);
@@ -83,6 +97,7 @@
 {
 	m_resting = false;
 	m_timer.cancel();
+	// An error here or in non_blocking() shows in receive(): the connection is then not used.
 	beast::error_code error;
 	socket.cancel(error);
 	if (_now - m_rested_at > _longest_rest)
@@ -101,7 +116,7 @@
 	const auto self = shared_from_this();
 	m_resting = false;
 	m_timer.cancel();
-	beast::error_code ignored;
+	beast::error_code ignored; // The connection is given up in any case.
 	socket.close(ignored);
 	m_backend->drop_idle(self);
 }
@@ -118,8 +133,8 @@
 void upstream_exchange::start()
 {
 	++m_backend->load.in_flight;
-	const auto longest_rest =
-	    m_request.at_most_once ? k_rest_at_most_once : std::chrono::milliseconds(std::chrono::hours(1));
+	const std::chrono::milliseconds longest_rest =
+	    m_request.at_most_once ? k_rest_at_most_once : k_rest_repeatable;
 	while (const std::shared_ptr<upstream_connection> connection = m_backend->take_idle())
 	{
 		if (connection->wake(m_clock.steady(), longest_rest))
@@ -142,9 +157,7 @@
 	    {
 		    if (!_error && !self->m_done && !self->m_sent)
 		    {
-			    exchange_result result;
-			    result.detail = "connect_timeout";
-			    self->finish(std::move(result), backend_signal::unreachable);
+			    self->fail(exchange_outcome::not_sent, "connect_timeout", backend_signal::unreachable);
 		    }
 	    });
 	m_connection->socket.async_connect(m_backend->address,
@@ -156,13 +169,11 @@
 		    }
 		    if (_error)
 		    {
-			    exchange_result result;
-			    result.detail = "connect_failed";
-			    self->finish(std::move(result), backend_signal::unreachable);
+			    self->fail(exchange_outcome::not_sent, "connect_failed", backend_signal::unreachable);
 			    return;
 		    }
 		    self->m_connect_time = self->m_clock.steady() - self->m_connecting_since;
-		    beast::error_code ignored;
+		    beast::error_code ignored; // Without the option small packets are only slower.
 		    self->m_connection->socket.set_option(tcp::no_delay(true), ignored);
 		    self->write();
 	    });
@@ -177,7 +188,7 @@
 	    [self = shared_from_this(), connection = m_connection, bytes = m_request.bytes](
 	        beast::error_code _error, std::size_t)
 	    {
-		    self->m_written = !_error;
+		    self->m_written = !_error; // What the error means for the request is told by read().
 	    });
 	read();
 }
@@ -197,13 +208,9 @@
 		    }
 		    if (_error)
 		    {
-			    exchange_result result;
-			    result.end = exchange_outcome::lost;
-			    result.detail =
-			        http::error::end_of_stream == _error || asio::error::connection_reset == _error
-			            ? "closed"
-			            : "broken_answer";
-			    self->finish(std::move(result), backend_signal::lost);
+			    const bool closed =
+			        http::error::end_of_stream == _error || asio::error::connection_reset == _error;
+			    self->fail(exchange_outcome::lost, closed ? "closed" : "broken_answer", backend_signal::lost);
 			    return;
 		    }
 		    self->on_answer();
@@ -221,56 +228,50 @@
 	const unsigned status = m_parser->get().result_int();
 	if (status < 200 && 101 != status)
 	{
-		read();
+		read(); // An interim answer; the final one follows.
 		return;
 	}
 	if (!is_ours(m_parser->get()))
 	{
-		if (++m_foreign_answers <= k_foreign_answers && m_parser->keep_alive())
-		{
-			read();
-			return;
-		}
-		exchange_result result;
-		result.end = exchange_outcome::lost;
-		result.detail = "foreign_answer";
-		finish(std::move(result), backend_signal::lost);
+		pass_over_foreign();
 		return;
 	}
-	exchange_result result;
 	caller_response response = m_parser->release();
 	take_load(response);
-	const bool unbroken = !m_parser->need_eof() && m_parser->keep_alive();
-	if (response.end() != response.find(m_names.not_run) || 421 == status)
+	const bool wrong_server = http::status::misdirected_request == response.result();
+	const bool not_run = wrong_server || has(response, m_names.not_run);
+	// What neither signs nor names the request may come from anything that listens at the address.
+	if (!not_run && !has(response, m_names.signature) && !has(response, m_names.request_id))
 	{
-		result.end = exchange_outcome::not_run;
-		result.wrong_server = 421 == status;
-		result.detail = result.wrong_server ? "wrong_server" : "shed";
-		if (unbroken)
-		{
-			keep_connection(response);
-		}
-		finish(
-		    std::move(result), result.wrong_server ? backend_signal::unreachable : backend_signal::refused);
+		fail(exchange_outcome::lost, "unsigned_answer", backend_signal::lost);
 		return;
 	}
-	if (response.end() == response.find(m_names.signature) &&
-	    response.end() == response.find(m_names.request_id))
+	if (!m_parser->need_eof() && m_parser->keep_alive())
 	{
-		result.end = exchange_outcome::lost;
-		result.detail = "unsigned_answer";
-		finish(std::move(result), backend_signal::lost);
-		return;
+		keep_connection(response);
 	}
-	if (unbroken)
+	if (not_run)
 	{
-		keep_connection(response);
+		fail(exchange_outcome::not_run, wrong_server ? "wrong_server" : "shed",
+		    wrong_server ? backend_signal::unreachable : backend_signal::refused);
+		return;
 	}
+	exchange_result result;
 	result.end = exchange_outcome::answered;
 	result.response = std::move(response);
 	finish(std::move(result), backend_signal::answered);
 }
 
+void upstream_exchange::pass_over_foreign()
+{
+	if (++m_foreign_answers <= k_foreign_answers && m_parser->keep_alive())
+	{
+		read();
+		return;
+	}
+	fail(exchange_outcome::lost, "foreign_answer", backend_signal::lost);
+}
+
 void upstream_exchange::take_load(const caller_response& _response)
 {
 	const std::string value(_response[m_names.load]);
@@ -295,22 +296,35 @@
 	m_connection.reset();
 }
 
+void upstream_exchange::fail(exchange_outcome _end, const char* _detail, backend_signal _signal)
+{
+	exchange_result result;
+	result.end = _end;
+	result.detail = _detail;
+	finish(std::move(result), _signal);
+}
+
 void upstream_exchange::finish(exchange_result&& _result, backend_signal _signal)
 {
 	m_done = true;
 	m_timer.cancel();
 	--m_backend->load.in_flight;
 	m_backend->on_exchange_end(_signal, m_clock.steady());
+	close_connection();
+	const auto handler = std::move(m_handler);
+	m_handler = nullptr;
+	_result.connect_time = m_connect_time;
+	handler(std::move(_result));
+}
+
+void upstream_exchange::close_connection()
+{
 	if (m_connection)
 	{
-		beast::error_code ignored;
+		beast::error_code ignored; // The connection is given up in any case.
 		m_connection->socket.close(ignored);
 		m_connection.reset();
 	}
-	const auto handler = std::move(m_handler);
-	m_handler = nullptr;
-	_result.connect_time = m_connect_time;
-	handler(std::move(_result));
 }
 
 void upstream_exchange::cancel()
@@ -323,11 +337,6 @@
 	m_handler = nullptr;
 	m_timer.cancel();
 	--m_backend->load.in_flight;
-	if (m_connection)
-	{
-		beast::error_code ignored;
-		m_connection->socket.close(ignored);
-		m_connection.reset();
-	}
+	close_connection();
 }
 } // namespace larkrack
--- a/src/edge/upstream_p.h
+++ b/src/edge/upstream_p.h
@@ -2,8 +2,10 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// One exchange with a backend server. What a backend server sends is never trusted: an exchange that did not
-/// end cleanly closes its connection.
+/// One exchange with a backend server, and the connection that it uses. What a backend server sends is never
+/// trusted: an exchange that did not end cleanly closes its connection. Owns the connection while the
+/// exchange lasts; idle ones belong to the backend server's entry in the registry. Relies on backend_registry
+/// for the entry and on its caller for retries: nothing is sent twice here.
 #pragma once
 
 #include "backend_registry_p.h"
@@ -69,7 +71,6 @@
 {
 	exchange_outcome end = exchange_outcome::not_sent;
 	std::optional<caller_response> response; ///< Set when answered.
-	bool wrong_server = false;               ///< Another backend server has the address.
 	const char* detail = "";                 ///< What went wrong, for the log.
 	/// Time that a new connection needed to come up; nothing when none was made.
 	std::optional<steady_time::duration> connect_time;
@@ -113,10 +114,14 @@
 	void write();
 	void read();
 	void on_answer();
+	/// Reads on behind an answer to another request, or gives the connection up.
+	void pass_over_foreign();
+	void fail(exchange_outcome _end, const char* _detail, backend_signal _signal);
 	void finish(exchange_result&& _result, backend_signal _signal);
 	bool is_ours(const caller_response& _response) const;
 	void take_load(const caller_response& _response);
 	void keep_connection(const caller_response& _response);
+	void close_connection();
 
 	asio::io_context& m_context;
 	const clock_base& m_clock;
