--- a/src/edge/edge_log.cpp
+++ b/src/edge/edge_log.cpp
@@ -16,11 +16,13 @@
 {
 namespace
 {
-/// A pipe that is writable takes so many bytes without waiting.
+/// Bytes that a writable pipe takes without waiting: PIPE_BUF of Linux, see pipe(7).
 constexpr std::size_t k_write_piece = 4096;
-/// One of so many good outcomes is logged.
+/// One of so many good outcomes is logged: the log's size against what can be looked up. Not measured.
 constexpr std::uint64_t k_sample = 16;
 
+/// Adds a text as a JSON string. By hand, since nlohmann's dump() writes other escapes ("\n" for a line feed,
+/// where the log has a code) and throws on bytes that are no UTF-8, which a caller's request id may hold.
 void append_quoted(std::string& _out, std::string_view _text)
 {
 	_out += '"';
@@ -131,7 +133,7 @@
 		const ssize_t written = ::write(m_descriptor, m_pending.data() + done, piece);
 		if (written <= 0)
 		{
-			break;
+			break; // The bytes stay for a later flush. Lines for which no room is left are counted.
 		}
 		done += static_cast<std::size_t>(written);
 	}
--- a/src/edge/edge_log_p.h
+++ b/src/edge/edge_log_p.h
@@ -2,7 +2,8 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Structured log to standard output, bounded in memory and never waiting for its reader.
+/// Structured log to standard output, one JSON object a line, bounded in memory and never waiting for its
+/// reader. Owns the lines that wait. Relies on its owner to call flush() at a steady interval.
 #pragma once
 
 #include "../events_p.h"
--- a/src/edge/header_rules_p.h
+++ b/src/edge/header_rules_p.h
@@ -2,7 +2,7 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Which headers concern only one connection, and small helpers for header texts.
+/// Which headers concern only one connection (RFC 9110, 7.6.1), and small helpers for header texts. No state.
 #pragma once
 
 #include "http_listener_p.h"
