--- a/src/edge/edge_settings.cpp
+++ b/src/edge/edge_settings.cpp
@@ -49,20 +49,39 @@
 	}
 }})JSON";
 
+/// Seconds for which callers may keep the answer to a look-up, unless the setting asks for less: look-ups
+/// against requests that still go to a node which has stopped. Not measured by itself.
 constexpr double k_lookup_ttl_s = 1.5;
-/// Letters by which a mistyped key may differ from the one that was meant.
+/// A known key is named as the one that was meant if it differs by fewer letters than these. Not measured.
 constexpr std::size_t k_alike = 4;
 
-std::optional<endpoint> optional_endpoint(const nlohmann::json& _listen, const char* _name)
+/// Reads an address. One that the schema's pattern lets through may still be none, as in "1.2.3.4.5:80".
+/// @returns Nothing when the text is missing or empty, or after a mistake.
+std::optional<endpoint> endpoint_at(
+    const nlohmann::json& _document, const std::string& _path, std::vector<mistake>& _mistakes)
 {
-	const std::string text = _listen.value(_name, "");
+	const std::string text = _document.value(nlohmann::json::json_pointer(_path), std::string());
 	if (text.empty())
 	{
 		return std::nullopt;
 	}
 	result<endpoint> parsed = parse_endpoint(text);
-	const endpoint* value = value_of(parsed);
-	return nullptr == value ? std::nullopt : std::optional<endpoint>(*value);
+	if (const endpoint* value = value_of(parsed))
+	{
+		return *value;
+	}
+	_mistakes.push_back({_path, value_at(_document, _path), "IP:port, as in 10.0.0.1:8000"});
+	return std::nullopt;
+}
+
+void check_ip(const nlohmann::json& _document, std::vector<mistake>& _mistakes)
+{
+	beast::error_code failed;
+	asio::ip::make_address(_document["ip"].get<std::string>(), failed);
+	if (failed)
+	{
+		_mistakes.push_back({"/ip", value_at(_document, "/ip"), "IP address, as in 10.0.0.1"});
+	}
 }
 
 /// @returns Letters to be added, taken away or replaced to make one word of the other.
@@ -152,15 +171,14 @@
 	edge_settings settings;
 	settings.place = {_document["name"], _document["domain"], _document["region"]};
 	settings.ip = _document["ip"];
-	const nlohmann::json& listen = _document["listen"];
-	settings.callers = *optional_endpoint(listen, "callers");
-	settings.readiness = optional_endpoint(listen, "readiness");
-	settings.lookups = optional_endpoint(listen, "lookups");
-	settings.peers = optional_endpoint(listen, "peers");
+	check_ip(_document, mistakes);
+	settings.callers = endpoint_at(_document, "/listen/callers", mistakes).value_or(endpoint());
+	settings.readiness = endpoint_at(_document, "/listen/readiness", mistakes);
+	settings.lookups = endpoint_at(_document, "/listen/lookups", mistakes);
+	settings.peers = endpoint_at(_document, "/listen/peers", mistakes);
+	settings.metrics = endpoint_at(_document, "/listen/metrics", mistakes);
 	settings.heartbeat_port = _document["inner_ports"][0];
-	settings.metrics = optional_endpoint(listen, "metrics");
-	result<endpoint> store = parse_endpoint(_document["store"]);
-	settings.store = *value_of(store);
+	settings.store = endpoint_at(_document, "/store", mistakes).value_or(endpoint());
 	settings.seeds = _document.value("seeds", std::vector<std::string>());
 	settings.region_of = _document["regions"].get<std::unordered_map<std::string, std::string>>();
 	settings.max_descriptors = _document.value("max_descriptors", settings.max_descriptors);
@@ -170,6 +188,10 @@
 	settings.bounds.max_shift = bounds["max_shift"];
 	settings.lookup_ttl = from_seconds(std::min(k_lookup_ttl_s, bounds["lookup_ttl_max_s"].get<double>()));
 	settings.grace = from_seconds(bounds["grace_s"]);
+	if (!mistakes.empty())
+	{
+		return mistakes;
+	}
 	return settings;
 }
 } // namespace larkrack
--- a/src/edge/edge_settings_p.h
+++ b/src/edge/edge_settings_p.h
@@ -2,7 +2,8 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Settings of larkrack-edge, read from JSON and checked by schema.
+/// Settings of larkrack-edge: reads them from JSON, checks them by schema and tells all mistakes at once. No
+/// state. Relies on schema for the checks and on parse_endpoint() for addresses.
 #pragma once
 
 #include "forwarder_p.h"
@@ -27,8 +28,8 @@
 	std::unordered_map<std::string, std::string> region_of; ///< By failure domain.
 	int max_descriptors = 1024;
 	shared_bounds bounds;
-	std::chrono::milliseconds lookup_ttl{1500};
-	std::chrono::milliseconds grace{5000}; ///< Time between the request to stop and the kill.
+	std::chrono::milliseconds lookup_ttl{0};
+	std::chrono::milliseconds grace{0}; ///< Time between the request to stop and the kill.
 };
 
 /// Checks and reads settings.
--- a/tests/edge_settings_test.cpp
+++ b/tests/edge_settings_test.cpp
@@ -17,6 +17,7 @@
 	CPPUNIT_TEST(settings_valid_are_read);
 	CPPUNIT_TEST(settings_empty_gap_names_the_field);
 	CPPUNIT_TEST(settings_all_mistakes_are_told_at_once);
+	CPPUNIT_TEST(settings_address_that_is_none_names_the_field);
 	CPPUNIT_TEST(settings_unknown_key_names_the_nearest);
 	CPPUNIT_TEST(log_blocked_reader_drops_and_counts_and_never_waits);
 	CPPUNIT_TEST_SUITE_END();
@@ -51,6 +52,24 @@
 		CPPUNIT_ASSERT_EQUAL(std::string("/listen/callers"), mistakes->front().path);
 	}
 
+	void settings_address_that_is_none_names_the_field()
+	{
+		nlohmann::json document = valid();
+		document["ip"] = "nowhere";
+		document["store"] = "1.2.3.4.5:90";
+		document["listen"]["callers"] = "10.0.0.1:99999";
+		document["listen"]["readiness"] = "10.0.0.300:80";
+		const auto parsed = parse_edge_settings(document);
+		const auto* mistakes = std::get_if<std::vector<mistake>>(&parsed);
+		CPPUNIT_ASSERT(nullptr != mistakes);
+		CPPUNIT_ASSERT_EQUAL(
+		    std::string("/ip: \"nowhere\": IP address, as in 10.0.0.1\n"
+		                "/listen/callers: \"10.0.0.1:99999\": IP:port, as in 10.0.0.1:8000\n"
+		                "/listen/readiness: \"10.0.0.300:80\": IP:port, as in 10.0.0.1:8000\n"
+		                "/store: \"1.2.3.4.5:90\": IP:port, as in 10.0.0.1:8000\n"),
+		    to_string(*mistakes));
+	}
+
 	void settings_all_mistakes_are_told_at_once()
 	{
 		nlohmann::json document = valid();
