--- /dev/null
+++ b/tests/forms/edge_settings_form_test.cpp
@@ -0,0 +1,183 @@
+// Copyright 2026 the larkrack developers. All rights reserved.
+// License: BSD 2-Clause, see LICENSE.
+
+/// @file
+/// Keys of larkrack-edge's settings with their types and bounds, what they are read into, and the template
+/// by which the platform writes them.
+
+#include "fixtures.h"
+
+#include "edge/edge_settings_p.h"
+
+#include <fstream>
+
+namespace larkrack
+{
+class edge_settings_form_test : public CppUnit::TestFixture
+{
+	CPPUNIT_TEST_SUITE(edge_settings_form_test);
+	CPPUNIT_TEST(schema_holds_the_known_keys);
+	CPPUNIT_TEST(schema_passes_over_keys_that_it_does_not_know);
+	CPPUNIT_TEST(settings_full_are_read);
+	CPPUNIT_TEST(settings_with_the_least_get_the_known_defaults);
+	CPPUNIT_TEST(template_of_the_platform_is_the_known_one);
+	CPPUNIT_TEST_SUITE_END();
+
+protected:
+	struct known_key
+	{
+		const char* path;
+		bool required;
+		const char* rules; ///< Of the schema, descriptions left out.
+	};
+
+	static void collect(
+	    const nlohmann::json& _schema, const std::string& _path, std::map<std::string, std::string>& _rows)
+	{
+		const nlohmann::json properties = _schema.value("properties", nlohmann::json::object());
+		for (const auto& [name, one] : properties.items())
+		{
+			bool required = false;
+			for (const nlohmann::json& listed : _schema.value("required", nlohmann::json::array()))
+			{
+				required = required || listed == name;
+			}
+			nlohmann::json rules = one;
+			rules.erase("description");
+			rules.erase("properties");
+			rules.erase("required");
+			_rows[_path + "/" + name] = (required ? "required " : "optional ") + rules.dump();
+			collect(one, _path + "/" + name, _rows);
+		}
+	}
+
+	void schema_holds_the_known_keys()
+	{
+		const known_key known[] = {
+		    {"/bounds", true, R"({"type":"object"})"},
+		    {"/bounds/grace_s", true, R"({"exclusiveMinimum":0,"type":"number"})"},
+		    {"/bounds/lookup_ttl_max_s", true, R"({"exclusiveMinimum":0,"type":"number"})"},
+		    {"/bounds/max_shift", true, R"({"maximum":1,"minimum":0,"type":"number"})"},
+		    {"/bounds/retry_ratio", true, R"({"maximum":1,"minimum":0,"type":"number"})"},
+		    {"/bounds/retry_slack", true, R"({"minimum":0,"type":"number"})"},
+		    {"/bounds/retry_window_s", true, R"({"exclusiveMinimum":0,"type":"number"})"},
+		    {"/domain", true, R"({"minLength":1,"type":"string"})"},
+		    {"/inner_ports", true,
+		        R"({"items":{"maximum":65535,"minimum":1,"type":"integer"},"maxItems":2,"minItems":2,"type":"array"})"},
+		    {"/ip", true, R"({"minLength":1,"type":"string"})"},
+		    {"/listen", true, R"({"type":"object"})"},
+		    {"/listen/callers", true, R"({"pattern":"^[0-9.]+:[0-9]+$","type":"string"})"},
+		    {"/listen/lookups", false, R"({"pattern":"^([0-9.]+:[0-9]+)?$","type":"string"})"},
+		    {"/listen/metrics", false, R"({"pattern":"^([0-9.]+:[0-9]+)?$","type":"string"})"},
+		    {"/listen/peers", false, R"({"pattern":"^([0-9.]+:[0-9]+)?$","type":"string"})"},
+		    {"/listen/readiness", false, R"({"pattern":"^([0-9.]+:[0-9]+)?$","type":"string"})"},
+		    {"/max_descriptors", false, R"({"minimum":64,"type":"integer"})"},
+		    {"/name", true, R"({"minLength":1,"type":"string"})"},
+		    {"/region", true, R"({"minLength":1,"type":"string"})"},
+		    {"/regions", true, R"({"additionalProperties":{"type":"string"},"type":"object"})"},
+		    {"/seeds", false, R"({"items":{"type":"string"},"type":"array"})"},
+		    {"/store", true, R"({"pattern":"^[0-9.]+:[0-9]+$","type":"string"})"},
+		};
+		std::map<std::string, std::string> rows;
+		collect(schema_edge_settings(), "", rows);
+		for (const known_key& key : known)
+		{
+			const std::string expected = std::string(key.required ? "required " : "optional ") + key.rules;
+			CPPUNIT_ASSERT_EQUAL_MESSAGE(key.path, expected, rows[key.path]);
+		}
+		CPPUNIT_ASSERT_EQUAL(std::size(known), rows.size());
+	}
+
+	void schema_passes_over_keys_that_it_does_not_know()
+	{
+		CPPUNIT_ASSERT_EQUAL(std::string("object"), schema_edge_settings().at("type").get<std::string>());
+		CPPUNIT_ASSERT(!schema_edge_settings().contains("additionalProperties"));
+	}
+
+	static edge_settings read(const char* _text)
+	{
+		const auto parsed = parse_edge_settings(nlohmann::json::parse(_text));
+		const auto* settings = std::get_if<edge_settings>(&parsed);
+		CPPUNIT_ASSERT(nullptr != settings);
+		return *settings;
+	}
+
+	void settings_full_are_read()
+	{
+		const edge_settings settings = read(R"({"name": "n1", "region": "east", "domain": "east-a",
+			"ip": "10.0.0.1", "listen": {"callers": "10.0.0.1:80", "readiness": "10.0.0.1:81",
+			"lookups": "10.0.0.1:82", "peers": "10.0.0.1:83", "metrics": "10.0.0.1:84"},
+			"inner_ports": [7000, 7010], "store": "10.0.0.9:90", "seeds": ["10.0.0.2:83"],
+			"regions": {"east-a": "east", "west-a": "west"}, "max_descriptors": 500,
+			"bounds": {"retry_ratio": 0.2, "retry_slack": 50, "retry_window_s": 10.5, "max_shift": 0.25,
+			"lookup_ttl_max_s": 1.25, "grace_s": 6.5}})");
+		CPPUNIT_ASSERT_EQUAL(std::string("n1"), settings.place.node);
+		CPPUNIT_ASSERT_EQUAL(std::string("east"), settings.place.region);
+		CPPUNIT_ASSERT_EQUAL(std::string("east-a"), settings.place.domain);
+		CPPUNIT_ASSERT_EQUAL(std::string("10.0.0.1"), settings.ip);
+		CPPUNIT_ASSERT_EQUAL(std::string("10.0.0.1:80"), to_string(settings.callers));
+		CPPUNIT_ASSERT_EQUAL(std::string("10.0.0.1:81"), to_string(settings.readiness.value()));
+		CPPUNIT_ASSERT_EQUAL(std::string("10.0.0.1:82"), to_string(settings.lookups.value()));
+		CPPUNIT_ASSERT_EQUAL(std::string("10.0.0.1:83"), to_string(settings.peers.value()));
+		CPPUNIT_ASSERT_EQUAL(std::string("10.0.0.1:84"), to_string(settings.metrics.value()));
+		CPPUNIT_ASSERT_EQUAL(std::uint16_t{7000}, settings.heartbeat_port);
+		CPPUNIT_ASSERT_EQUAL(std::string("10.0.0.9:90"), to_string(settings.store));
+		CPPUNIT_ASSERT((std::vector<std::string>{"10.0.0.2:83"}) == settings.seeds);
+		CPPUNIT_ASSERT_EQUAL(std::string("west"), settings.region_of.at("west-a"));
+		CPPUNIT_ASSERT_EQUAL(500, settings.max_descriptors);
+		CPPUNIT_ASSERT(std::chrono::milliseconds(10500) == settings.bounds.retry_window);
+		CPPUNIT_ASSERT_EQUAL(0.25, settings.bounds.max_shift);
+		CPPUNIT_ASSERT(std::chrono::milliseconds(1250) == settings.lookup_ttl);
+		CPPUNIT_ASSERT(std::chrono::milliseconds(6500) == settings.grace);
+	}
+
+	void settings_with_the_least_get_the_known_defaults()
+	{
+		const edge_settings settings = read(R"({"name": "n1", "region": "east", "domain": "east-a",
+			"ip": "10.0.0.1", "listen": {"callers": "10.0.0.1:80"}, "inner_ports": [7000, 7010],
+			"store": "10.0.0.9:90", "regions": {}, "bounds": {"retry_ratio": 0, "retry_slack": 0,
+			"retry_window_s": 1, "max_shift": 0, "lookup_ttl_max_s": 5, "grace_s": 1}})");
+		CPPUNIT_ASSERT(!settings.readiness && !settings.lookups && !settings.peers && !settings.metrics);
+		CPPUNIT_ASSERT(settings.seeds.empty());
+		CPPUNIT_ASSERT_EQUAL(1024, settings.max_descriptors);
+		CPPUNIT_ASSERT(std::chrono::milliseconds(1500) == settings.lookup_ttl);
+	}
+
+	void template_of_the_platform_is_the_known_one()
+	{
+		std::ifstream file(std::string(LARKRACK_SOURCE_DIR) + "/deploy/settings.template.json");
+		std::ostringstream text;
+		text << file.rdbuf();
+		CPPUNIT_ASSERT_EQUAL(std::string(R"TEMPLATE({
+	"name": {{Node|json}},
+	"region": {{Region|json}},
+	"domain": {{Zone|json}},
+	"ip": {{Ip|json}},
+	"listen": {
+		"callers": "{{Listen.Front}}",
+		"readiness": "{{Listen.Ready}}",
+		"lookups": "{{Listen.Directory}}",
+		"peers": "{{Listen.Control}}",
+		"metrics": "{{Ip}}:9464"
+	},
+	"inner_ports": {{InnerPorts|json}},
+	"store": "{{Platform.Address}}",
+	"seeds": {{Seeds|json}},
+	"regions": {{Zones|json}},
+	"max_descriptors": {{Limits.MaxFds}},
+	"bounds": {
+		"retry_ratio": {{Bounds.RetryBudgetRatio}},
+		"retry_slack": {{Bounds.BudgetSlack}},
+		"retry_window_s": {{Bounds.BudgetWindowS}},
+		"max_shift": {{Bounds.MaxShift}},
+		"lookup_ttl_max_s": {{Bounds.ttl_max_s}},
+		"grace_s": {{Bounds.GraceS}}
+	}
+}
+)TEMPLATE"),
+		    text.str());
+	}
+};
+
+CPPUNIT_TEST_SUITE_REGISTRATION(edge_settings_form_test);
+} // namespace larkrack
