--- a/src/platform_sync_p.h
+++ b/src/platform_sync_p.h
@@ -3,12 +3,18 @@
 
 /// @file
 /// Everything that this node agrees with others through the platform: configuration, records, the list of
-/// VMs.
+/// VMs. Owns the configuration in force and this node's copies of the records, and keeps both in step with
+/// the platform's store: readers of a failure domain watch it, everybody writes by compare-and-swap. Relies
+/// on the store service, and on peers to bring changes to nodes that do not read. While the platform is down
+/// the node goes on with what it knows; when it comes back with older data, a newer node writes its own back.
 #pragma once
 
 #include "config_replica_p.h"
+#include "driver_lease_p.h"
+#include "platform_keys_p.h"
 #include "record_replica_p.h"
 #include "store_p.h"
+#include "vm_list_p.h"
 
 #include <functional>
 #include <random>
@@ -17,12 +23,6 @@
 
 namespace larkrack
 {
-constexpr const char* k_prefix_all = "/larkrack/";
-constexpr const char* k_key_head = "/larkrack/config/head";
-constexpr const char* k_prefix_config = "/larkrack/config/r/";
-constexpr const char* k_prefix_record = "/larkrack/record/";
-constexpr const char* k_key_driver = "/larkrack/lease/driver";
-
 /// One operator's change: put a resource, or delete it.
 struct config_change
 {
@@ -76,7 +76,7 @@
 	/// @returns Entry VMs that the platform's list says are gone.
 	const std::set<std::string>& gone() const
 	{
-		return m_gone;
+		return m_vms.gone();
 	}
 	/// @returns Whether the last call was answered.
 	bool is_up() const
@@ -137,20 +137,31 @@
 	txn_reply write_until_sure(const std::vector<store_compare>& _conditions,
 	    const std::vector<store_write>& _writes, const yield_context& _yield);
 	bool is_written(const config_change& _change, const std::string& _id, const yield_context& _yield);
-	void take_vms(const nlohmann::json& _list);
+	/// How this node stands to the platform's configuration before a write.
+	enum class catch_up_end
+	{
+		level,        ///< Both have the same.
+		was_older,    ///< The platform had an older one; it is to be looked at again.
+		not_answered, ///< The platform does not answer.
+	};
+	/// @param[out] _head_at Store revision of the head that was read; 0: there is none.
+	catch_up_end catch_up(const yield_context& _yield, std::int64_t& _head_at);
+	/// Writes a checked change if the head is still as it was read.
+	/// @returns How it ended; nothing when another change came first.
+	std::optional<write_status> write_once(const std::vector<config_change>& _changes,
+	    const config_state& _next, const std::string& _id, std::int64_t _head_at,
+	    const yield_context& _yield);
+	void put_in_force(config_state _next, const std::string& _id);
 
 	asio::io_context& m_context;
 	std::string m_node;
-	endpoint m_platform;
 	store_base* m_store = nullptr;
-	http_caller m_caller;
 	config_replica m_book;
 	record_replica m_records;
-	std::set<std::string> m_gone;
+	vm_list m_vms;
+	driver_lease m_lease;
 	std::function<void(bool, const std::vector<record>&)> m_on_change;
 	std::mt19937_64 m_random;
-	std::uint64_t m_vm_polls = 0;
-	std::int64_t m_lease = 0;
 	bool m_reader = true;
 	bool m_up = false;
 	bool m_older = false;
--- /dev/null
+++ b/src/vm_list.cpp
@@ -0,0 +1,43 @@
+// Copyright 2026 the larkrack developers. All rights reserved.
+// License: BSD 2-Clause, see LICENSE.
+
+#include "vm_list_p.h"
+
+#include "larkrack/config.h"
+
+#include "platform_keys_p.h"
+
+namespace larkrack
+{
+bool vm_list::poll(const yield_context& _yield)
+{
+	++m_polls;
+	result<http_response> called = m_caller.call(
+	    m_platform, make_request(http::verb::get, "/vms", m_platform), k_platform_deadline, _yield);
+	const http_response* response = value_of(called);
+	if (nullptr == response || http::status::ok != response->result())
+	{
+		// No log line: that the platform is down is told by the calls to its store, and the last list stays.
+		return false;
+	}
+	return take(object_from_text(response->body()).value("vms", nlohmann::json::array()));
+}
+
+bool vm_list::take(const nlohmann::json& _list)
+{
+	std::set<std::string> gone;
+	for (const nlohmann::json& vm : _list)
+	{
+		if ("gone" == vm.value("state", ""))
+		{
+			gone.insert(vm.value("name", ""));
+		}
+	}
+	if (gone == m_gone)
+	{
+		return false;
+	}
+	m_gone = std::move(gone);
+	return true;
+}
+} // namespace larkrack
