--- a/src/carrier_p.h
+++ b/src/carrier_p.h
@@ -3,7 +3,11 @@
 
 /// @file
 /// Carries one request at a time from a caller, or from another entry VM, to a backend server and its answer
-/// back.
+/// back. carrier.cpp reads requests and answers refusals, carrier_keyed.cpp runs keys at most once,
+/// carrier_attempts.cpp decides about tries, carrier_upstream.cpp makes the exchanges, carrier_deliver.cpp
+/// brings answers back. Owns this thread's idle connections and the bytes that are read ahead. Relies on the
+/// gate for slots, on the key table for the memory of keys, and on the view that the control thread
+/// publishes; it decides by that view alone, so it goes on when the control thread stands still.
 #pragma once
 
 #include "gate_p.h"
@@ -12,6 +16,7 @@
 #include "key_table_p.h"
 #include "lookup_p.h"
 #include "metrics_p.h"
+#include "relay_mark_p.h"
 #include "retry_token_bucket_p.h"
 #include "tracer_p.h"
 #include "traffic_view_p.h"
@@ -22,14 +27,6 @@
 
 namespace larkrack
 {
-/// How a request reached this entry VM.
-enum class request_origin
-{
-	caller,   ///< From a caller.
-	for_key,  ///< From another entry VM, because this one remembers the key.
-	for_slot, ///< From another entry VM, because this one owns backend servers: served or refused here.
-};
-
 /// A request on its way.
 struct carried
 {
@@ -56,14 +53,18 @@
 	reason why = reason::none;
 	bool answered = false;      ///< The caller has its answer, or is gone.
 	bool may_try_again = false; ///< Nothing ran and nothing was sent to the caller.
-	std::chrono::milliseconds retry_after{0};
-	int status = 0; ///< Of the answer of the backend server.
+	int status = 0;             ///< Of the answer of the backend server.
 	std::string backend;
 	std::string content_type;
 	std::string body; ///< Kept for further tries of a key, when small.
 	bool body_kept = false;
 };
 
+/// @returns The end of a request that no backend server ran.
+carried_end refused(reason _reason, bool _may_try_again = true);
+/// @returns The end of a request that may have run.
+carried_end not_known(reason _reason);
+
 /// One for each traffic thread. Not thread-safe, but many coroutines use it.
 class carrier
 {
@@ -89,6 +90,15 @@
 	void answer_lookup(http_session& _session, const http_request& _request, const yield_context& _yield);
 	carried_end carry(http_session& _session, carried& _call, const yield_context& _yield);
 	carried_end carry_keyed(http_session& _session, carried& _call, const yield_context& _yield);
+	/// Who remembers a key, and until when.
+	struct key_place
+	{
+		entry_vm_handle owner;
+		incarnation life; ///< The process of it that remembers the key.
+		steady_time forget_at{};
+	};
+	/// @returns The place, or the end of a request whose grant is not good.
+	std::variant<key_place, carried_end> place_of_key(const carried& _call) const;
 	carried_end run_keyed(
 	    http_session& _session, carried& _call, steady_time _forget_at, const yield_context& _yield);
 	carried_end wait_for_key(const std::shared_ptr<kept_ptr>& _answer,
@@ -117,7 +127,14 @@
 	void deliver_small(http_session& _session, const carried& _call, upstream& _up, carried_end& _end,
 	    const yield_context& _yield);
 	void deliver_large(http_session& _session, const carried& _call, const std::shared_ptr<upstream>& _up,
-	    carried_end& _end, const yield_context& _yield);
+	    const yield_context& _yield);
+	/// Reads ahead until everything is read, the other side breaks off, or the caller is gone.
+	void read_pieces(const std::shared_ptr<upstream>& _up, const std::shared_ptr<read_ahead>& _queue,
+	    std::size_t _ahead, const yield_context& _yield);
+	/// Sends the head, and then what is read ahead until its end; stops the reading when the caller is gone.
+	/// @returns Whether the caller took all of it.
+	bool send_pieces(http_session& _session, http::response<http::buffer_body>& _head, read_ahead& _queue,
+	    const yield_context& _yield);
 	void set_answer_head(const carried& _call, const upstream& _up, http::fields& _fields) const;
 	void finish(upstream& _up, exchange_end _end);
 	void abandon(const std::shared_ptr<upstream>& _up);
@@ -125,9 +142,7 @@
 	    const ticket& _ticket, const std::string& _id, steady_time _until, const yield_context& _yield);
 	void answer_end(
 	    http_session& _session, const carried& _call, const carried_end& _end, const yield_context& _yield);
-	std::chrono::milliseconds comes_back(const carried& _call, reason _reason);
-	bool is_relay_signed(const http_request& _request, request_origin& _origin) const;
-	std::string sign_relay(const std::string& _id, request_origin _origin) const;
+	std::chrono::milliseconds comes_back(reason _reason);
 
 	asio::io_context& m_context;
 	const settings& m_settings;
--- a/src/carrier_upstream.cpp
+++ b/src/carrier_upstream.cpp
@@ -11,37 +11,19 @@
 {
 namespace
 {
+/// Longest time to open a connection: how soon a dead neighbour is known, against one that is far or busy.
+/// Not measured.
 constexpr std::chrono::milliseconds k_connect_timeout{300};
-/// A pooled connection that idled longer may have been closed by the other side just now.
+/// A pooled connection that idled longer may have been closed by the other side just now, which costs a
+/// repeatable request a try and any other its certainty. Not measured.
 constexpr std::chrono::milliseconds k_idle_repeatable{10000};
 constexpr std::chrono::milliseconds k_idle_careful{1000};
+/// Longest time for a backend server to confirm that a run is cancelled; later its slot waits for the
+/// deadline. Not measured.
 constexpr std::chrono::milliseconds k_cancel_timeout{500};
-constexpr std::chrono::seconds k_piece_timeout{20};
-/// An entry VM answers a little after the deadline that it was given.
+/// An entry VM answers a little after the deadline that it was given. Not measured.
 constexpr std::chrono::milliseconds k_peer_patience{50};
 
-const http::field k_hop_fields[] = {http::field::connection, http::field::keep_alive,
-    http::field::proxy_connection, http::field::te, http::field::trailer, http::field::transfer_encoding,
-    http::field::upgrade, http::field::expect};
-
-template <typename Fields>
-void erase_hop_fields(Fields& _fields)
-{
-	for (const http::field field : k_hop_fields)
-	{
-		_fields.erase(field);
-	}
-}
-
-carried_end end_of(outcome _outcome, reason _reason, bool _may_try_again)
-{
-	carried_end end;
-	end.result = _outcome;
-	end.why = _reason;
-	end.may_try_again = _may_try_again;
-	return end;
-}
-
 reason reason_from(const std::string& _text)
 {
 	for (int at = 0; at <= static_cast<int>(reason::bad_request); ++at)
@@ -84,7 +66,7 @@
 	out.set(k_header_request_id, _call.id);
 	out.set(k_header_entry_vm, _call.way);
 	out.set(k_header_caller, _call.caller.to_string());
-	out.set(k_header_relay, sign_relay(_call.id, _origin));
+	out.set(k_header_relay, make_relay_mark(m_signer, _call.id, _origin, m_clock.wall()));
 	const auto left =
 	    std::chrono::duration_cast<std::chrono::milliseconds>(_call.deadline - m_clock.steady());
 	out.set(k_header_deadline, std::to_string(left.count()));
@@ -198,7 +180,7 @@
 	if (!connection)
 	{
 		m_gate.release(_ticket, exchange_end::never_sent, m_clock.steady());
-		return end_of(outcome::not_run, reason::unreachable, true);
+		return refused(reason::unreachable);
 	}
 	auto up = std::make_shared<upstream>(std::move(connection), where);
 	up->parser.skip(http::verb::head == _call.request->method());
@@ -216,7 +198,7 @@
 	if (!send_upstream(*up, request, _yield) || !read_head(_session, *up, _call.repeatable, _yield))
 	{
 		abandon(up);
-		carried_end end = end_of(outcome::unknown, reason::lost_answer, false);
+		carried_end end = not_known(reason::lost_answer);
 		end.answered = up->caller_gone;
 		if (up->caller_gone)
 		{
@@ -227,7 +209,7 @@
 	if ("1" == header_of(up->parser.get(), k_header_shed))
 	{
 		finish(*up, exchange_end::shed);
-		return end_of(outcome::not_run, reason::shed, true);
+		return refused(reason::shed);
 	}
 	carried_end end;
 	end.result = outcome::served;
@@ -247,7 +229,7 @@
 	}
 	if (!connection)
 	{
-		return end_of(outcome::not_run, reason::unreachable, true);
+		return refused(reason::unreachable);
 	}
 	auto up = std::make_shared<upstream>(std::move(connection), where);
 	up->parser.skip(http::verb::head == _call.request->method());
@@ -257,7 +239,7 @@
 	if (!send_upstream(*up, request, _yield) || !read_head(_session, *up, _call.repeatable, _yield))
 	{
 		abandon(up);
-		carried_end end = end_of(outcome::unknown, reason::lost_answer, false);
+		carried_end end = not_known(reason::lost_answer);
 		end.answered = up->caller_gone;
 		return end;
 	}
@@ -270,167 +252,11 @@
 		const bool not_run = to_string(outcome::not_run) == said;
 		const reason why = reason_from(header_of(head, k_header_reason));
 		finish(*up, exchange_end::shed);
-		return end_of(not_run ? outcome::not_run : outcome::unknown, why, not_run && reason::cap != why);
+		return not_run ? refused(why, reason::cap != why) : not_known(why);
 	}
 	carried_end end;
 	end.result = outcome::served;
 	deliver(_session, _call, up, end, _yield);
 	return end;
 }
-
-void carrier::set_answer_head(const carried& _call, const upstream& _up, http::fields& _fields) const
-{
-	erase_hop_fields(_fields);
-	_fields.set(k_header_outcome, to_string(outcome::served));
-	_fields.set(k_header_entry_vm, _call.way);
-	_fields.set(k_header_backend, _up.backend);
-	_fields.set(k_header_request_id, _call.id);
-}
-
-void carrier::deliver(http_session& _session, const carried& _call, const std::shared_ptr<upstream>& _up,
-    carried_end& _end, const yield_context& _yield)
-{
-	const auto& head = _up->parser.get();
-	_end.answered = true;
-	_end.status = static_cast<int>(head.result_int());
-	_end.backend = _up->backend;
-	_end.content_type = header_of(head, "Content-Type");
-	const boost::optional<std::uint64_t> length = _up->parser.content_length();
-	const bool is_small = (length && *length <= k_piece) || _up->parser.is_done();
-	if (is_small)
-	{
-		deliver_small(_session, _call, *_up, _end, _yield);
-	}
-	else
-	{
-		deliver_large(_session, _call, _up, _end, _yield);
-	}
-	abandon(_up);
-}
-
-void carrier::deliver_small(http_session& _session, const carried& _call, upstream& _up, carried_end& _end,
-    const yield_context& _yield)
-{
-	std::string body(_up.parser.is_done() ? 0 : _up.parser.content_length().value_or(0), '\0');
-	beast::error_code failure;
-	if (!_up.parser.is_done())
-	{
-		_up.parser.get().body().data = body.data();
-		_up.parser.get().body().size = body.size();
-		http::async_read(_up.connection->stream, _up.connection->buffer, _up.parser, _yield[failure]);
-	}
-	if (failure || !_up.parser.is_done())
-	{
-		// Nothing was sent on yet, so the caller gets a clear answer instead of a part.
-		_end = end_of(outcome::unknown, reason::lost_answer, false);
-		return;
-	}
-	http_response response(_up.parser.get().result(), 11);
-	static_cast<http::fields&>(response.base()) = _up.parser.get().base();
-	set_answer_head(_call, _up, response.base());
-	finish(_up, exchange_end::whole);
-	if (http::verb::head == _call.request->method())
-	{
-		_session.send_head_only(response, _yield);
-		return;
-	}
-	if (!_call.key.empty() && body.size() <= k_kept_body)
-	{
-		_end.body = body;
-		_end.body_kept = true;
-	}
-	response.body() = std::move(body);
-	_session.send(response, _yield);
-}
-
-void carrier::deliver_large(http_session& _session, const carried& _call,
-    const std::shared_ptr<upstream>& _up, carried_end& _end, const yield_context& _yield)
-{
-	(void)_end;
-	http::response<http::buffer_body> head(_up->parser.get().result(), 11);
-	static_cast<http::fields&>(head.base()) = _up->parser.get().base();
-	set_answer_head(_call, *_up, head.base());
-	const boost::optional<std::uint64_t> length = _up->parser.content_length();
-	if (length)
-	{
-		head.content_length(*length);
-	}
-	const std::size_t ahead = m_settings.read_ahead ? k_read_ahead : k_piece;
-	auto queue = std::make_shared<read_ahead>(m_context);
-	start(m_context,
-	    [this, queue, up = _up, ahead](const yield_context& _inner)
-	    {
-		    beast::error_code failure;
-		    while (!failure && !up->parser.is_done() && !queue->stopped)
-		    {
-			    if (ahead <= queue->bytes || (0 < queue->bytes && k_read_ahead_total <= m_read_ahead))
-			    {
-				    queue->wait(_inner);
-				    continue;
-			    }
-			    std::string piece(k_piece, '\0');
-			    up->parser.get().body().data = piece.data();
-			    up->parser.get().body().size = piece.size();
-			    up->connection->stream.expires_after(k_piece_timeout);
-			    http::async_read(up->connection->stream, up->connection->buffer, up->parser, _inner[failure]);
-			    failure = http::error::need_buffer == failure ? beast::error_code() : failure;
-			    piece.resize(piece.size() - up->parser.get().body().size);
-			    if (queue->stopped)
-			    {
-				    break;
-			    }
-			    queue->bytes += piece.size();
-			    m_read_ahead += piece.size();
-			    queue->pieces.push_back(std::move(piece));
-			    queue->notify();
-		    }
-		    queue->done = !failure && up->parser.is_done();
-		    queue->failed = !queue->done;
-		    if (queue->done)
-		    {
-			    finish(*up, exchange_end::whole);
-		    }
-		    else
-		    {
-			    abandon(up);
-		    }
-		    queue->notify();
-	    });
-	bool open = _session.send_head(head, _yield);
-	while (open && !(queue->pieces.empty() && (queue->done || queue->failed)))
-	{
-		if (queue->pieces.empty())
-		{
-			queue->wait(_yield);
-			continue;
-		}
-		const std::string piece = std::move(queue->pieces.front());
-		queue->pieces.pop_front();
-		open = _session.send_piece(piece.data(), piece.size(), _yield);
-		queue->bytes -= piece.size();
-		m_read_ahead -= piece.size();
-		queue->notify();
-	}
-	m_read_ahead -= queue->bytes;
-	queue->bytes = 0;
-	queue->stopped = true;
-	queue->notify();
-	if (!open || queue->failed)
-	{
-		// A part was sent: closing is the only way to tell the caller that it is not whole.
-		_session.close();
-		if (_up->connection)
-		{
-			_up->connection->stream.cancel();
-		}
-	}
-	else
-	{
-		_session.send_end(_yield);
-	}
-	while (!queue->done && !queue->failed)
-	{
-		queue->wait(_yield);
-	}
-}
 } // namespace larkrack
--- a/src/carrier_upstream_p.h
+++ b/src/carrier_upstream_p.h
@@ -2,7 +2,9 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// State of one exchange with a backend server or another entry VM.
+/// State of one exchange with a backend server or another entry VM, for the files of the carrier that make
+/// exchanges and deliver answers. An exchange owns its connection and, towards a backend server, the slot:
+/// whoever ends it gives both back.
 #pragma once
 
 #include "carrier_p.h"
@@ -54,8 +56,12 @@
 	void wait(const yield_context& _yield)
 	{
 		changed.expires_at(std::chrono::steady_clock::time_point::max());
+		// Woken or not, the caller looks at the state again.
 		boost::system::error_code ignored;
 		changed.async_wait(_yield[ignored]);
 	}
 };
+
+/// Takes away the header fields that are meant for one connection only.
+void erase_hop_fields(http::fields& _fields);
 } // namespace larkrack
--- /dev/null
+++ b/src/relay_mark.cpp
@@ -0,0 +1,43 @@
+// Copyright 2026 the larkrack developers. All rights reserved.
+// License: BSD 2-Clause, see LICENSE.
+
+#include "relay_mark_p.h"
+
+#include <cstdlib>
+
+namespace larkrack
+{
+namespace
+{
+/// Age of a mark that is still taken: for so long a mark that was overheard can be used again for its own id,
+/// and by so much may clocks differ. Not measured.
+constexpr std::chrono::seconds k_relay_age{30};
+} // namespace
+
+std::string make_relay_mark(
+    const signer& _signer, const std::string& _id, request_origin _origin, wall_time _now)
+{
+	const std::string text =
+	    (request_origin::for_key == _origin ? "key:" : "slot:") + _id + ":" + std::to_string(to_us(_now));
+	return text + ":" + _signer.signature(text);
+}
+
+std::optional<request_origin> read_relay_mark(
+    const signer& _signer, const std::string& _mark, const std::string& _id, wall_time _now)
+{
+	const std::size_t last = _mark.rfind(':');
+	if (std::string::npos == last ||
+	    !signer::same(_signer.signature(_mark.substr(0, last)), _mark.substr(last + 1)))
+	{
+		return std::nullopt;
+	}
+	const std::size_t before = _mark.rfind(':', last - 1);
+	const std::chrono::microseconds age(to_us(_now) - std::strtoll(_mark.c_str() + before + 1, nullptr, 10));
+	const std::string id = _mark.substr(_mark.find(':') + 1, before - _mark.find(':') - 1);
+	if (k_relay_age <= age || age <= -k_relay_age || id != _id)
+	{
+		return std::nullopt;
+	}
+	return 0 == _mark.rfind("key:", 0) ? request_origin::for_key : request_origin::for_slot;
+}
+} // namespace larkrack
