--- a/src/operators.cpp
+++ b/src/operators.cpp
@@ -4,7 +4,6 @@
 #include "operators_p.h"
 
 #include "log_p.h"
-#include "lookup_p.h"
 
 #include <boost/algorithm/string/classification.hpp>
 #include <boost/algorithm/string/split.hpp>
@@ -14,28 +13,6 @@
 namespace
 {
 constexpr const char* k_v1 = "/v1/";
-constexpr std::chrono::milliseconds k_watch_interval{200};
-
-http_response problem(http::status _status, const std::string& _code, const std::string& _message)
-{
-	return make_json(_status, nlohmann::json({{"error", _code}, {"message", _message}}).dump());
-}
-
-const char* to_string(member_state _state)
-{
-	switch (_state)
-	{
-	case member_state::alive:
-		return "alive";
-	case member_state::suspected:
-		return "suspected";
-	case member_state::left:
-		return "left";
-	case member_state::unknown:
-		break;
-	}
-	return "unknown";
-}
 
 std::optional<revision> revision_from(const std::string& _text)
 {
@@ -53,8 +30,37 @@
 	}
 	return revision{std::strtoull(digits.c_str(), nullptr, 10)};
 }
+
+bool names_resource(const nlohmann::json& _resource)
+{
+	return _resource.is_object() && _resource.contains("kind") && _resource.contains("name") &&
+	       _resource["kind"].is_string() && _resource["name"].is_string();
+}
+
+/// @returns The change that one resource of an apply stands for.
+config_change change_from(const nlohmann::json& _resource)
+{
+	config_change one;
+	one.kind = _resource["kind"];
+	one.name = _resource["name"];
+	one.spec = _resource.value("spec", nlohmann::json::object());
+	if (_resource.contains("revision"))
+	{
+		one.expected = revision{_resource["revision"].get<std::uint64_t>()};
+	}
+	if (_resource.value("delete", false))
+	{
+		one.spec.reset();
+	}
+	return one;
+}
 } // namespace
 
+http_response problem(http::status _status, const std::string& _code, const std::string& _message)
+{
+	return make_json(_status, nlohmann::json({{"error", _code}, {"message", _message}}).dump());
+}
+
 operators::operators(asio::io_context& _context) : m_context(_context)
 {
 }
@@ -257,25 +263,12 @@
 	std::vector<config_change> changes;
 	for (const nlohmann::json& resource : body["resources"])
 	{
-		if (!resource.is_object() || !resource.contains("kind") || !resource.contains("name") ||
-		    !resource["kind"].is_string() || !resource["name"].is_string())
+		if (!names_resource(resource))
 		{
 			return problem(
 			    http::status::bad_request, "bad_resource", "each resource needs kind, name and spec");
 		}
-		config_change one;
-		one.kind = resource["kind"];
-		one.name = resource["name"];
-		one.spec = resource.value("spec", nlohmann::json::object());
-		if (resource.contains("revision"))
-		{
-			one.expected = revision{resource["revision"].get<std::uint64_t>()};
-		}
-		if (resource.value("delete", false))
-		{
-			one.spec.reset();
-		}
-		changes.push_back(std::move(one));
+		changes.push_back(change_from(resource));
 	}
 	return answer_write(m_sync->write(changes, body.value("dry_run", false), _yield));
 }
@@ -318,145 +311,6 @@
 	return make_json(http::status::service_unavailable, body.dump());
 }
 
-nlohmann::json operators::status_json() const
-{
-	const steady_time now = m_clock->steady();
-	nlohmann::json answer = {{"node", m_settings->name}, {"domain", m_settings->domain},
-	    {"version", LARKRACK_VERSION}, {"revision", m_sync->configuration().state().rev.value},
-	    {"degraded", m_control->degraded_modes()}, {"platform_up", m_sync->is_up()},
-	    {"platform_calls", m_sync->calls()}, {"keys", m_keys->size()}, {"life", m_control->life().value}};
-	const peer_traffic sent = m_peers->traffic();
-	answer["control"] = {{"sent_messages", sent.sent_messages}, {"sent_bytes", sent.sent_bytes},
-	    {"received_messages", sent.received_messages}, {"received_bytes", sent.received_bytes}};
-	answer["backends"] = nlohmann::json::array();
-	for (const backend_state& backend : m_gate->states())
-	{
-		answer["backends"].push_back({{"name", backend.grant.name}, {"service", backend.grant.service},
-		    {"slots", backend.grant.slots}, {"running", backend.running}, {"pace", backend.concurrency_limit},
-		    {"owned", backend.grant.owned}, {"drain", backend.grant.drain}, {"served", backend.served},
-		    {"full_ms", std::max<std::int64_t>(0, (backend.grant.full_until - now).count() / 1000)}});
-	}
-	answer["shifts"] = nlohmann::json::array();
-	answer["entry_vms"] = nlohmann::json::array();
-	answer["rooms"] = nlohmann::json::array();
-	const policy_ptr rules = m_sync->configuration().current();
-	if (!rules)
-	{
-		return answer;
-	}
-	for (const shift_status& shift : m_control->shifts())
-	{
-		answer["shifts"].push_back({{"service", shift.service}, {"state", shift.step.state},
-		    {"waits_for", shift.step.waits_for}, {"shares", shift.step.shares}, {"goal", shift.step.goal},
-		    {"step", shift.step.number}, {"in_force", shares_by_name(*rules, shift.in_force)}});
-	}
-	for (const entry_vm_spec& vm : rules->entry_vms)
-	{
-		const member_entry* entry = m_control->members().entry_of(vm.name);
-		const member_state state = m_control->members().state_of(vm.name, now);
-		const std::uint64_t at = nullptr == entry ? 0 : entry->rev.value;
-		const bool leaving = vm.drain || (nullptr != entry && entry->leaving);
-		answer["entry_vms"].push_back({{"name", vm.name}, {"domain", rules->at(vm.domain).name},
-		    {"state", leaving && member_state::alive == state ? "leaving" : to_string(state)},
-		    {"revision", at}, {"lags", at < rules->rev.value}});
-		for (std::size_t service = 0; nullptr != entry && service < rules->services.size(); ++service)
-		{
-			const auto load = entry->loads.find(rules->services[service].name);
-			if (entry->loads.end() != load)
-			{
-				const domain_spec& domain = rules->at(vm.domain);
-				answer["rooms"].push_back(
-				    {{"region", rules->regions[domain.region.idx].name}, {"domain", domain.name},
-				        {"entry_vm", vm.name}, {"service", load->first}, {"slots", load->second.slots},
-				        {"usable", load->second.usable}, {"running", load->second.running}});
-			}
-		}
-	}
-	return answer;
-}
-
-http_response operators::status() const
-{
-	return make_json(http::status::ok, status_json().dump());
-}
-
-http_response operators::explain(const std::string& _target) const
-{
-	const view_ptr view = m_board->get();
-	boost::system::error_code failure;
-	const auto caller = asio::ip::make_address(query_value(_target, "caller"), failure);
-	const service_handle service =
-	    view ? view->rules->find_service(query_value(_target, "service")) : service_handle{};
-	if (failure || !is_valid(service))
-	{
-		return problem(http::status::bad_request, "bad_query", "needs service=NAME and caller=IP");
-	}
-	const policy& rules = *view->rules;
-	const region_handle home = rules.home_of(caller);
-	const region_handle region = region_for(*view, service, caller);
-	nlohmann::json steps = nlohmann::json::array();
-	const site_handle site = rules.clients->find(caller);
-	steps.push_back(
-	    {{"rule", "client_block"}, {"result", is_valid(site) ? rules.sites[site.idx].name : "(no block)"}});
-	steps.push_back({{"rule", "home_region"}, {"result", rules.regions[home.idx].name}});
-	const double point = point_of(caller, rules.at(service).name);
-	const mix& plan = view->services[service.idx].plan;
-	nlohmann::json parts = nlohmann::json::object();
-	for (std::size_t at = 0; at < plan.regions; ++at)
-	{
-		parts[rules.regions[at].name] = plan.part[home.idx * plan.regions + at];
-	}
-	steps.push_back({{"rule", "mix"}, {"parts", parts}, {"point", point},
-	    {"result", is_valid(region) ? rules.regions[region.idx].name : "refused: cap"}});
-	nlohmann::json answer = {
-	    {"service", rules.at(service).name}, {"caller", caller.to_string()}, {"revision", rules.rev.value}};
-	nlohmann::json choices = nlohmann::json::array();
-	if (is_valid(region))
-	{
-		for (const lookup_choice& choice : order_entry_vms(*view, service, region, 0.0))
-		{
-			const service_headroom& room = view->peers[choice.vm.idx].rooms[service.idx];
-			choices.push_back({{"entry_vm", rules.at(choice.vm).name},
-			    {"domain", rules.at(rules.at(choice.vm).domain).name}, {"weight", choice.weight},
-			    {"usable", room.usable}, {"running", room.running}});
-		}
-		answer["region"] = rules.regions[region.idx].name;
-	}
-	answer["steps"] = steps;
-	answer["entry_vms"] = choices;
-	return make_json(http::status::ok, answer.dump());
-}
-
-http_response operators::scrape()
-{
-	const steady_time now = m_clock->steady();
-	m_metrics->set("larkrack_configuration_revision", "Revision of the configuration in force.",
-	    static_cast<double>(m_sync->configuration().state().rev.value));
-	m_metrics->set("larkrack_platform_up", "1 when the platform answers.", m_sync->is_up() ? 1 : 0);
-	m_metrics->set("larkrack_degraded_modes", "Number of degraded modes that hold.",
-	    static_cast<double>(m_control->degraded_modes().size()));
-	for (const auto& [use, count] : m_sync->calls())
-	{
-		m_metrics->set("larkrack_platform_calls", "Calls to the platform since the start.", "use", use,
-		    static_cast<double>(count));
-	}
-	for (const auto& [service, room] : m_gate->headroom(now))
-	{
-		m_metrics->set(
-		    "larkrack_slots_usable", "Slots that may be used now.", "service", service, room.usable);
-		m_metrics->set("larkrack_slots_running", "Slots in use.", "service", service, room.running);
-	}
-	const peer_traffic sent = m_peers->traffic();
-	m_metrics->set("larkrack_control_sent_bytes", "Bytes of control messages sent.",
-	    static_cast<double>(sent.sent_bytes));
-	m_metrics->set("larkrack_control_received_bytes", "Bytes of control messages received.",
-	    static_cast<double>(sent.received_bytes));
-	http_response response(http::status::ok, 11);
-	response.set(http::field::content_type, "text/plain; version=0.0.4");
-	response.body() = m_metrics->text();
-	return response;
-}
-
 http_response operators::cut(const http_request& _request)
 {
 	const nlohmann::json body = nlohmann::json::parse(_request.body(), nullptr, false);
@@ -467,26 +321,4 @@
 	m_control->set_cut(body.value("entry_vms", std::set<std::string>()), body.value("platform", false));
 	return make_json(http::status::ok, "{}");
 }
-
-void operators::watch(http_session& _session, const yield_context& _yield)
-{
-	http::response<http::buffer_body> head(http::status::ok, 11);
-	head.set(http::field::content_type, "application/x-ndjson");
-	bool open = _session.send_head(head, _yield);
-	std::string last;
-	while (open && !m_stopping && !_session.is_gone())
-	{
-		const nlohmann::json status = status_json();
-		const nlohmann::json news = {{"revision", status["revision"]}, {"shifts", status["shifts"]},
-		    {"degraded", status["degraded"]}, {"entry_vms", status["entry_vms"]}};
-		const std::string line = news.dump() + "\n";
-		if (line != last)
-		{
-			open = _session.send_piece(line.data(), line.size(), _yield);
-			last = line;
-		}
-		sleep_for(m_context.get_executor(), k_watch_interval, _yield);
-	}
-	_session.close();
-}
 } // namespace larkrack
--- a/src/operators_p.h
+++ b/src/operators_p.h
@@ -2,7 +2,10 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// The operators' listener: resource API, status, explanation, metrics.
+/// The operators' listener: resource API, status, explanation, metrics. operators.cpp takes changes,
+/// operators_views.cpp shows. Owns the listener and no state; relies on platform_sync for the configuration
+/// and its changes, on control, gate, peers and key table for what it shows. Reading needs no token; each
+/// change needs the operators' token.
 #pragma once
 
 #include "control_p.h"
@@ -40,6 +43,16 @@
 	http_response cut(const http_request& _request);
 	void watch(http_session& _session, const yield_context& _yield);
 	nlohmann::json status_json() const;
+	nlohmann::json backends_json() const;
+	nlohmann::json shifts_json(const policy& _rules) const;
+	/// Adds the entry VMs, and the slots that each tells of.
+	void add_entry_vms(const policy& _rules, nlohmann::json& _answer) const;
+	/// @returns The rules that led to a region, in their order.
+	static nlohmann::json explain_region(const traffic_view& _view, service_handle _service,
+	    const asio::ip::address& _caller, region_handle _region);
+	/// @returns Entry VMs of a region in the order of a look-up; none without a region.
+	static nlohmann::json explain_entry_vms(
+	    const traffic_view& _view, service_handle _service, region_handle _region);
 	nlohmann::json resource_json(const std::string& _key, const resource_value& _value) const;
 
 	asio::io_context& m_context;
@@ -56,6 +69,8 @@
 	std::unique_ptr<http_server> m_server;
 };
 
+/// @returns An answer that tells what is wrong: a code for programs and a sentence for people.
+http_response problem(http::status _status, const std::string& _code, const std::string& _message);
 /// @returns The status page: one HTML file.
 const char* status_page();
 } // namespace larkrack
