--- a/src/control_p.h
+++ b/src/control_p.h
@@ -3,6 +3,11 @@
 
 /// @file
 /// The control state of a node: membership, ownership, shifts; publishes snapshots to traffic threads.
+/// control.cpp holds its rounds, control_messages.cpp what entry VMs tell each other, control_owners.cpp who
+/// owns backend servers, control_shifts.cpp the shares of regions, control_view.cpp the snapshots. Owns the
+/// members' last words, the limiter of each service's shares and this life's number; relies on platform_sync
+/// for configuration and records, on peers for messages, and on the gate for the slots. Without the platform
+/// or peers it goes on with what it last heard, and names that as a degraded mode.
 #pragma once
 
 #include "membership_p.h"
@@ -81,6 +86,8 @@
 	void on_change(bool _config, const std::vector<record>& _records);
 	void send(const std::string& _vm, const message& _message);
 	void send_heartbeats(steady_time _now);
+	/// Writes to the log who answers now and who does so no longer.
+	void tell_peers(steady_time _now);
 	void configure();
 	void update_gate(steady_time _now);
 	void update_shares(steady_time _now);
@@ -92,6 +99,11 @@
 	void tell_shares(
 	    const std::string& _service, const std::vector<double>& _target, const service_state& _state);
 	void publish(steady_time _now);
+	/// Decides once, when the owners are known, whether an earlier process of this entry VM may have run
+	/// keys.
+	void judge_life(domain_handle _domain);
+	peer_view view_of(const entry_vm_spec& _vm, steady_time _now) const;
+	service_view view_of(service_handle _service, steady_time _now);
 	void own(domain_handle _domain, service_handle _service, const yield_context& _yield);
 	void drive(service_handle _service, const yield_context& _yield);
 	std::optional<std::string> next_step(const std::string& _old, service_handle _service);
