--- a/src/store_base64.cpp
+++ b/src/store_base64.cpp
@@ -1,6 +1,14 @@
 // Copyright 2026 the larkrack developers. All rights reserved.
 // License: BSD 2-Clause, see LICENSE.
 
+/// @file
+/// Base64 of keys and values, and the end of a range of keys, as the key-value services want them.
+/// The codec is the one of Boost.Beast, which every program links already, although its namespace is an
+/// internal one. Abseil's public one was measured beside it in a program of its own, three runs each: 188 to
+/// 204 KiB more resident for its four shared libraries, which `larkrack-edge` does not load otherwise, and
+/// 0.20 to 0.21 microseconds against 0.14 to 0.24 for a value of 40 bytes there and back. Memory of an entry
+/// VM is priced, so this stays.
+
 #include "store_p.h"
 
 #include <boost/beast/core/detail/base64.hpp>
