--- a/tests/forms/daemon_node_forms.h
+++ b/tests/forms/daemon_node_forms.h
@@ -9,6 +9,8 @@
 #include "daemon_forms.h"
 
 #include "operators_p.h"
+#include "store_engine_p.h"
+#include "store_memory_p.h"
 
 #include <fstream>
 #include <sstream>
--- a/tests/forms/daemon_records_forms_test.cpp
+++ b/tests/forms/daemon_records_forms_test.cpp
@@ -9,6 +9,8 @@
 #include "ownership_p.h"
 #include "platform_sync_p.h"
 #include "shift_p.h"
+#include "store_engine_p.h"
+#include "store_memory_p.h"
 
 namespace larkrack
 {
@@ -262,7 +264,7 @@
 
 	void digest_of_records_is_the_same_at_every_node()
 	{
-		record_book book;
+		record_replica book;
 		book.take({"owner/east-a/shop", "{}", 3});
 		book.take({"step/shop", "{}", 9});
 		same_form(R"(14237122033121758801)", std::to_string(book.digest()));
--- a/tests/forms/daemon_signatures_forms_test.cpp
+++ b/tests/forms/daemon_signatures_forms_test.cpp
@@ -4,6 +4,7 @@
 /// @file
 /// Signed texts of larkrackd: grants, the header of a relayed request, and the websocket handshake.
 
+#include "clock_virtual_p.h"
 #include "daemon_forms.h"
 
 #include "carrier_p.h"
@@ -138,7 +139,7 @@
 
 		kernel services;
 		clock_virtual* clock = nullptr;
-		retry_budget budget;
+		retry_token_bucket budget;
 		std::unique_ptr<carrier> carry;
 		std::unique_ptr<http_server> callers;
 		std::unique_ptr<http_server> relays;
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -165,7 +165,7 @@
 	/// Each change read all client blocks once: 2.1 s of processor time at 1.1 M blocks.
 	void configuration_when_another_resource_changes_keeps_the_client_table()
 	{
-		config_book book;
+		config_replica book;
 		book.take(small_configuration(1));
 		const policy_ptr before = book.current();
 		config_state next = small_configuration(1);
@@ -179,7 +179,7 @@
 	{
 		config_state state = small_configuration(1);
 		put(state, "client_blocks/more", {{"blocks", {{"10.3.0.0/16", "east-a"}}}});
-		config_book book;
+		config_replica book;
 		book.take(state);
 		const policy_ptr before = book.current();
 		state.rev = {2};
