--- a/src/carrier_p.h
+++ b/src/carrier_p.h
@@ -119,7 +119,7 @@
 	bool send_upstream(upstream& _up, const http_request& _request, const yield_context& _yield);
 	bool read_head(http_session& _session, upstream& _up, bool _repeatable, const yield_context& _yield);
 	http_request make_backend_request(
-	    const carried& _call, const backend_state& _backend, wall_time _expires) const;
+	    const carried& _call, const gate_backend& _backend, wall_time _expires) const;
 	http_request make_peer_request(
 	    const carried& _call, const endpoint& _where, request_origin _origin) const;
 	void deliver(http_session& _session, const carried& _call, const std::shared_ptr<upstream>& _up,
--- a/src/carrier_upstream.cpp
+++ b/src/carrier_upstream.cpp
@@ -38,7 +38,7 @@
 } // namespace
 
 http_request carrier::make_backend_request(
-    const carried& _call, const backend_state& _backend, wall_time _expires) const
+    const carried& _call, const gate_backend& _backend, wall_time _expires) const
 {
 	http_request out(*_call.request);
 	erase_hop_fields(out);
@@ -167,7 +167,7 @@
 carried_end carrier::exchange_backend(
     http_session& _session, carried& _call, const ticket& _ticket, const yield_context& _yield)
 {
-	const backend_state& backend = *_ticket.backend;
+	const gate_backend& backend = *_ticket.backend;
 	const endpoint where = backend.grant.address;
 	const steady_time now = m_clock.steady();
 	const auto run_limit = _call.view->rules->at(_call.service).run_limit;
--- a/src/control.cpp
+++ b/src/control.cpp
@@ -194,7 +194,7 @@
 
 bool control::is_handed_over() const
 {
-	for (const backend_state& backend : m_gate->states())
+	for (const gate_backend& backend : m_gate->states())
 	{
 		if (0 < backend.running)
 		{
--- a/src/control_p.h
+++ b/src/control_p.h
@@ -78,7 +78,7 @@
 	void drive_for_ever(const yield_context& _yield);
 	void own_for_ever(const yield_context& _yield);
 	void probe_for_ever(const yield_context& _yield);
-	void probe(const backend_state& _backend, const yield_context& _yield);
+	void probe(const gate_backend& _backend, const yield_context& _yield);
 	void tick(steady_time _now);
 	void check_pause(steady_time _now);
 	void on_envelope(const envelope& _envelope);
--- a/src/control_view.cpp
+++ b/src/control_view.cpp
@@ -6,6 +6,8 @@
 /// threads, asks backend servers for their load, and names the degraded modes.
 #include "control_p.h"
 
+#include "larkrack/config.h"
+
 namespace larkrack
 {
 namespace
@@ -14,8 +16,6 @@
 /// a measurement is, against requests that no caller asked for. Not measured.
 constexpr std::chrono::milliseconds k_probe_interval{500};
 constexpr std::chrono::milliseconds k_probe_timeout{400};
-/// A measurement is stale after so many times the silence that makes a peer suspected. Not measured.
-constexpr int k_stale_after = 4;
 } // namespace
 
 void control::judge_life(domain_handle _domain)
@@ -99,7 +99,7 @@
 	while (!m_stopping)
 	{
 		sleep_for(m_context.get_executor(), k_probe_interval, _yield);
-		for (const backend_state& backend : m_gate->states())
+		for (const gate_backend& backend : m_gate->states())
 		{
 			if (backend.grant.owned)
 			{
@@ -113,7 +113,7 @@
 	}
 }
 
-void control::probe(const backend_state& _backend, const yield_context& _yield)
+void control::probe(const gate_backend& _backend, const yield_context& _yield)
 {
 	const endpoint& where = _backend.grant.address;
 	result<http_response> called =
@@ -165,9 +165,9 @@
 	{
 		modes.emplace_back("stale_configuration");
 	}
-	for (const backend_state& backend : m_gate->states())
+	for (const gate_backend& backend : m_gate->states())
 	{
-		if (backend.grant.owned && k_stale_after * k_suspect_after < now - backend.reported_at)
+		if (backend.grant.owned && k_load_report_stale < now - backend.reported_at)
 		{
 			modes.push_back("stale_measurements:" + backend.grant.name);
 		}
--- a/src/gate.cpp
+++ b/src/gate.cpp
@@ -50,7 +50,7 @@
 	{
 		backend_ptr& state = known[grant.name];
 		const auto it = m_by_name.find(grant.name);
-		state = m_by_name.end() == it ? std::make_shared<backend_state>() : it->second;
+		state = m_by_name.end() == it ? std::make_shared<gate_backend>() : it->second;
 		if (m_by_name.end() == it || state->grant.slots != grant.slots)
 		{
 			state->concurrency_limit = grant.slots;
@@ -78,7 +78,7 @@
 	}
 }
 
-int gate::usable(const backend_state& _backend, steady_time _now) const
+int gate::usable(const gate_backend& _backend, steady_time _now) const
 {
 	if (!_backend.grant.owned || _backend.grant.drain || _now < _backend.grant.full_until)
 	{
@@ -271,7 +271,7 @@
 void gate::release(const ticket& _ticket, exchange_end _end, steady_time _now)
 {
 	const std::lock_guard<std::mutex> lock(m_mutex);
-	backend_state& backend = *_ticket.backend;
+	gate_backend& backend = *_ticket.backend;
 	if (exchange_end::shed == _end && k_shed_once <= _now - backend.shed_at)
 	{
 		backend.concurrency_limit = std::max(1.0, backend.concurrency_limit * k_limit_decrease);
@@ -349,10 +349,10 @@
 	return m_by_name.end() == it ? 0 : it->second->running;
 }
 
-std::vector<backend_state> gate::states() const
+std::vector<gate_backend> gate::states() const
 {
 	const std::lock_guard<std::mutex> lock(m_mutex);
-	std::vector<backend_state> all;
+	std::vector<gate_backend> all;
 	for (const auto& [name, state] : m_by_name)
 	{
 		all.push_back(*state);
--- a/src/gate_p.h
+++ b/src/gate_p.h
@@ -49,7 +49,7 @@
 };
 
 /// Counters of one backend server. Guarded by the gate's mutex.
-struct backend_state
+struct gate_backend
 {
 	backend_grant grant;
 	int running = 0;                ///< Requests of this entry VM that run there, or may still run.
@@ -61,7 +61,7 @@
 	steady_time shed_at{};    ///< Last shed request that lowered the concurrency limit.
 	std::uint64_t served = 0;
 };
-using backend_ptr = std::shared_ptr<backend_state>;
+using backend_ptr = std::shared_ptr<gate_backend>;
 
 /// Right to one slot of one backend server. Must be given back by gate::release.
 struct ticket
@@ -149,7 +149,7 @@
 	/// @returns Requests that run at a backend server, or may run.
 	int running(const std::string& _backend) const;
 	/// @returns Copies of all states.
-	std::vector<backend_state> states() const;
+	std::vector<gate_backend> states() const;
 	/// Stops or resumes all admissions, as after a pause of the process until ownership is confirmed.
 	void hold(bool _held);
 
@@ -159,7 +159,7 @@
 		std::vector<backend_ptr> backends;
 		std::list<waiter_ptr> queue; ///< By priority, then by arrival.
 	};
-	int usable(const backend_state& _backend, steady_time _now) const;
+	int usable(const gate_backend& _backend, steady_time _now) const;
 	service_headroom headroom_of(const pool& _pool, steady_time _now) const;
 	std::optional<ticket> take(pool& _pool, steady_time _now);
 	void serve_queue(pool& _pool, steady_time _now);
--- a/src/operators_views.cpp
+++ b/src/operators_views.cpp
@@ -37,10 +37,10 @@
 {
 	const steady_time now = m_clock->steady();
 	nlohmann::json backends = nlohmann::json::array();
-	for (const backend_state& backend : m_gate->states())
+	for (const gate_backend& backend : m_gate->states())
 	{
 		backends.push_back({{"name", backend.grant.name}, {"service", backend.grant.service},
-		    {"slots", backend.grant.slots}, {"running", backend.running}, {"pace", backend.pace},
+		    {"slots", backend.grant.slots}, {"running", backend.running}, {"pace", backend.concurrency_limit},
 		    {"owned", backend.grant.owned}, {"drain", backend.grant.drain}, {"served", backend.served},
 		    {"full_ms", std::max<std::int64_t>(0, (backend.grant.full_until - now).count() / 1000)}});
 	}
--- a/tests/forms/edge_settings_form_test.cpp
+++ b/tests/forms/edge_settings_form_test.cpp
@@ -125,7 +125,7 @@
 		CPPUNIT_ASSERT((std::vector<std::string>{"10.0.0.2:83"}) == settings.seeds);
 		CPPUNIT_ASSERT_EQUAL(std::string("west"), settings.region_of.at("west-a"));
 		CPPUNIT_ASSERT_EQUAL(500, settings.max_descriptors);
-		CPPUNIT_ASSERT(std::chrono::milliseconds(10500) == settings.bounds.retry_window);
+		CPPUNIT_ASSERT(std::chrono::milliseconds(10500) == settings.bounds.retries.window);
 		CPPUNIT_ASSERT_EQUAL(0.25, settings.bounds.max_shift);
 		CPPUNIT_ASSERT(std::chrono::milliseconds(1250) == settings.lookup_ttl);
 		CPPUNIT_ASSERT(std::chrono::milliseconds(6500) == settings.grace);
--- a/tests/forms/heartbeat_form_test.cpp
+++ b/tests/forms/heartbeat_form_test.cpp
@@ -41,29 +41,29 @@
 		return s_bytes;
 	}
 
-	static edge_heartbeat full()
+	static node_heartbeat full()
 	{
-		edge_heartbeat one;
-		one.node = "n1";
+		node_heartbeat one;
+		one.node = node_name("n1");
 		one.incarnation = 1700000000000001ULL;
 		one.sequence = 300;
-		one.domain = "east-a";
-		one.region = "east";
+		one.domain = domain_name("east-a");
+		one.region = region_name("east");
 		one.ip = "10.0.0.1";
 		one.callers = "10.0.0.1:80";
 		one.state = node_state::stopping;
 		one.config_version = 17;
 		one.store_revision = 70000;
 		one.store_reached = false;
-		one.store_answer_age_ms = 250;
-		one.requests_per_s = {{"files", 0.1}, {"shop", 12.5}};
-		one.sent_per_s = {{"shop", {{"east", 8.0}, {"west", 4.5}}}};
-		one.loads = {{0xdeadbeefU, 3}, {7U, 0}};
+		one.store_answer_age = std::chrono::milliseconds(250);
+		one.requests_per_s = {{service_name("files"), 0.1}, {service_name("shop"), 12.5}};
+		one.sent_per_s = {{service_name("shop"), {{region_name("east"), 8.0}, {region_name("west"), 4.5}}}};
+		one.in_flight = {{0xdeadbeefU, 3}, {7U, 0}};
 		one.known_ips = {"10.0.0.2", "10.0.0.3"};
 		return one;
 	}
 
-	static result<edge_heartbeat> decode(const std::vector<std::uint8_t>& _bytes)
+	static result<node_heartbeat> decode(const std::vector<std::uint8_t>& _bytes)
 	{
 		return decode_heartbeat(_bytes.data(), _bytes.size());
 	}
@@ -75,45 +75,45 @@
 
 	void heartbeat_empty_encoded_has_the_known_bytes()
 	{
-		CPPUNIT_ASSERT_EQUAL(empty_bytes(), to_hex(encode(edge_heartbeat())));
+		CPPUNIT_ASSERT_EQUAL(empty_bytes(), to_hex(encode(node_heartbeat())));
 	}
 
 	void heartbeat_known_bytes_decoded_have_all_fields()
 	{
-		result<edge_heartbeat> decoded = decode(from_hex(full_bytes()));
-		const edge_heartbeat* one = value_of(decoded);
+		result<node_heartbeat> decoded = decode(from_hex(full_bytes()));
+		const node_heartbeat* one = value_of(decoded);
 		CPPUNIT_ASSERT(nullptr != one);
-		CPPUNIT_ASSERT_EQUAL(std::string("n1"), one->node);
+		CPPUNIT_ASSERT_EQUAL(std::string("n1"), one->node.text);
 		CPPUNIT_ASSERT_EQUAL(std::uint64_t{1700000000000001ULL}, one->incarnation);
 		CPPUNIT_ASSERT_EQUAL(std::uint64_t{300}, one->sequence);
-		CPPUNIT_ASSERT_EQUAL(std::string("east-a"), one->domain);
-		CPPUNIT_ASSERT_EQUAL(std::string("east"), one->region);
+		CPPUNIT_ASSERT_EQUAL(std::string("east-a"), one->domain.text);
+		CPPUNIT_ASSERT_EQUAL(std::string("east"), one->region.text);
 		CPPUNIT_ASSERT_EQUAL(std::string("10.0.0.1"), one->ip);
 		CPPUNIT_ASSERT_EQUAL(std::string("10.0.0.1:80"), one->callers);
 		CPPUNIT_ASSERT(node_state::stopping == one->state);
 		CPPUNIT_ASSERT_EQUAL(std::uint64_t{17}, one->config_version);
 		CPPUNIT_ASSERT_EQUAL(std::int64_t{70000}, one->store_revision);
 		CPPUNIT_ASSERT(!one->store_reached);
-		CPPUNIT_ASSERT(one->store_answer_age_ms && 250 == *one->store_answer_age_ms);
-		CPPUNIT_ASSERT(
-		    (std::map<std::string, double>{{"files", 0.1}, {"shop", 12.5}}) == one->requests_per_s);
+		CPPUNIT_ASSERT(one->store_answer_age && 250 == one->store_answer_age->count());
+		CPPUNIT_ASSERT((rate_by_service{{service_name("files"), 0.1}, {service_name("shop"), 12.5}}) ==
+		               one->requests_per_s);
 		CPPUNIT_ASSERT_EQUAL(std::size_t(1), one->sent_per_s.size());
-		CPPUNIT_ASSERT(
-		    (std::map<std::string, double>{{"east", 8.0}, {"west", 4.5}}) == one->sent_per_s.at("shop"));
-		CPPUNIT_ASSERT_EQUAL(std::size_t(2), one->loads.size());
-		CPPUNIT_ASSERT_EQUAL(0xdeadbeefU, one->loads[0].key);
-		CPPUNIT_ASSERT_EQUAL(3, one->loads[0].in_flight);
-		CPPUNIT_ASSERT_EQUAL(7U, one->loads[1].key);
-		CPPUNIT_ASSERT_EQUAL(0, one->loads[1].in_flight);
+		CPPUNIT_ASSERT((rate_by_region{{region_name("east"), 8.0}, {region_name("west"), 4.5}}) ==
+		               one->sent_per_s.at(service_name("shop")));
+		CPPUNIT_ASSERT_EQUAL(std::size_t(2), one->in_flight.size());
+		CPPUNIT_ASSERT_EQUAL(0xdeadbeefU, one->in_flight[0].id_hash);
+		CPPUNIT_ASSERT_EQUAL(3, one->in_flight[0].in_flight);
+		CPPUNIT_ASSERT_EQUAL(7U, one->in_flight[1].id_hash);
+		CPPUNIT_ASSERT_EQUAL(0, one->in_flight[1].in_flight);
 		CPPUNIT_ASSERT((std::vector<std::string>{"10.0.0.2", "10.0.0.3"}) == one->known_ips);
 	}
 
 	void heartbeat_without_store_answer_decoded_has_no_age()
 	{
-		result<edge_heartbeat> decoded = decode(from_hex(empty_bytes()));
-		const edge_heartbeat* one = value_of(decoded);
+		result<node_heartbeat> decoded = decode(from_hex(empty_bytes()));
+		const node_heartbeat* one = value_of(decoded);
 		CPPUNIT_ASSERT(nullptr != one);
-		CPPUNIT_ASSERT(!one->store_answer_age_ms);
+		CPPUNIT_ASSERT(!one->store_answer_age);
 		CPPUNIT_ASSERT(one->store_reached);
 		CPPUNIT_ASSERT(node_state::starting == one->state);
 	}
@@ -124,7 +124,7 @@
 		{
 			std::vector<std::uint8_t> bytes = from_hex(full_bytes());
 			bytes.at(1) = layout;
-			const result<edge_heartbeat> decoded = decode(bytes);
+			const result<node_heartbeat> decoded = decode(bytes);
 			const error* refused = std::get_if<error>(&decoded);
 			CPPUNIT_ASSERT(nullptr != refused);
 			CPPUNIT_ASSERT_EQUAL(std::string("bad_heartbeat"), refused->code);
