--- a/src/base/clock_p.h
+++ b/src/base/clock_p.h
@@ -8,7 +8,7 @@
 /// Relies on: wall clocks of VMs that differ by no more than k_clock_skew.
 #pragma once
 
-#include "kernel_p.h"
+#include "base/kernel_p.h"
 
 #include <chrono>
 
--- a/src/base/http_client.cpp
+++ b/src/base/http_client.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 the larkrack developers. All rights reserved.
 // License: BSD 2-Clause, see LICENSE.
 
-#include "http_p.h"
+#include "base/http_p.h"
 
 #include "larkrack/config.h"
 
--- a/src/base/http_p.h
+++ b/src/base/http_p.h
@@ -14,8 +14,8 @@
 /// Units: limits in bytes and times from larkrack/config.h.
 #pragma once
 
-#include "clock_p.h"
-#include "settings_p.h"
+#include "base/clock_p.h"
+#include "base/settings_p.h"
 
 #include "larkrack/config.h"
 
--- a/src/base/metrics_p.h
+++ b/src/base/metrics_p.h
@@ -9,7 +9,7 @@
 /// outcomes, reasons and uses of the store, so their number is bounded.
 #pragma once
 
-#include "kernel_p.h"
+#include "base/kernel_p.h"
 
 #include <prometheus/counter.h>
 #include <prometheus/gauge.h>
--- a/src/base/schema.cpp
+++ b/src/base/schema.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 the larkrack developers. All rights reserved.
 // License: BSD 2-Clause, see LICENSE.
 
-#include "schema_p.h"
+#include "base/schema_p.h"
 
 #include <valijson/adapters/nlohmann_json_adapter.hpp>
 #include <valijson/schema.hpp>
--- a/src/base/settings.cpp
+++ b/src/base/settings.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 the larkrack developers. All rights reserved.
 // License: BSD 2-Clause, see LICENSE.
 
-#include "settings_p.h"
+#include "base/settings_p.h"
 
 #include <boost/asio/ip/address.hpp>
 
--- a/src/base/settings_p.h
+++ b/src/base/settings_p.h
@@ -9,8 +9,8 @@
 /// endpoint only: they have other fields and are read again while the process lives.
 #pragma once
 
-#include "kernel_p.h"
-#include "schema_p.h"
+#include "base/kernel_p.h"
+#include "base/schema_p.h"
 
 #include <cstdint>
 #include <string>
--- a/src/entry_node/backend_registry_p.h
+++ b/src/entry_node/backend_registry_p.h
@@ -8,8 +8,8 @@
 /// entries, on fleet to tell what other nodes have in flight, and on upstream to count exchanges.
 #pragma once
 
-#include "backend_state_p.h"
-#include "node_heartbeat_p.h"
+#include "steering/backend_state_p.h"
+#include "steering/node_heartbeat_p.h"
 
 #include <boost/asio/ip/tcp.hpp>
 
--- a/src/entry_node/edge_log_p.h
+++ b/src/entry_node/edge_log_p.h
@@ -6,7 +6,7 @@
 /// reader. Owns the lines that wait. Relies on its owner to call flush() at a steady interval.
 #pragma once
 
-#include "../events_p.h"
+#include "base/events_p.h"
 
 #include <cstdint>
 #include <string>
--- a/src/entry_node/edge_node_p.h
+++ b/src/entry_node/edge_node_p.h
@@ -5,9 +5,9 @@
 /// One entry VM's process: puts the parts together, starts and stops them.
 #pragma once
 
-#include "edge_settings_p.h"
-#include "fleet_p.h"
-#include "store_sync_p.h"
+#include "entry_node/edge_settings_p.h"
+#include "entry_node/fleet_p.h"
+#include "entry_node/store_sync_p.h"
 
 #include <array>
 
--- a/src/entry_node/edge_node_peers.cpp
+++ b/src/entry_node/edge_node_peers.cpp
@@ -1,9 +1,9 @@
 // Copyright 2026 the larkrack developers. All rights reserved.
 // License: BSD 2-Clause, see LICENSE.
 
-#include "edge_node_p.h"
+#include "entry_node/edge_node_p.h"
 
-#include "store_changes_codec_p.h"
+#include "entry_node/store_changes_codec_p.h"
 
 #include "larkrack/config.h"
 
--- a/src/entry_node/edge_settings.cpp
+++ b/src/entry_node/edge_settings.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 the larkrack developers. All rights reserved.
 // License: BSD 2-Clause, see LICENSE.
 
-#include "edge_settings_p.h"
+#include "entry_node/edge_settings_p.h"
 
 #include <algorithm>
 
--- a/src/entry_node/edge_settings_p.h
+++ b/src/entry_node/edge_settings_p.h
@@ -6,9 +6,9 @@
 /// state. Relies on schema for the checks and on parse_endpoint() for addresses.
 #pragma once
 
-#include "forwarder_p.h"
+#include "entry_node/forwarder_p.h"
 
-#include "../settings_p.h"
+#include "base/settings_p.h"
 
 namespace larkrack
 {
--- a/src/entry_node/fleet_p.h
+++ b/src/entry_node/fleet_p.h
@@ -9,12 +9,12 @@
 /// edge_node to hand in heartbeats and to send those of this node.
 #pragma once
 
-#include "forwarder_p.h"
-#include "heartbeat_p.h"
-#include "lookup_answer_p.h"
-#include "node_liveness_p.h"
-#include "shared_budgets_p.h"
-#include "store_readers_p.h"
+#include "entry_node/forwarder_p.h"
+#include "entry_node/heartbeat_p.h"
+#include "steering/lookup_answer_p.h"
+#include "steering/node_liveness_p.h"
+#include "steering/shared_budgets_p.h"
+#include "steering/store_readers_p.h"
 
 #include <set>
 
--- a/src/entry_node/forwarded_request.cpp
+++ b/src/entry_node/forwarded_request.cpp
@@ -1,10 +1,10 @@
 // Copyright 2026 the larkrack developers. All rights reserved.
 // License: BSD 2-Clause, see LICENSE.
 
-#include "forwarded_request_p.h"
+#include "entry_node/forwarded_request_p.h"
 
-#include "request_times_p.h"
-#include "upstream_request_bytes_p.h"
+#include "entry_node/upstream_request_bytes_p.h"
+#include "steering/request_times_p.h"
 
 namespace larkrack
 {
--- a/src/entry_node/forwarded_request_p.h
+++ b/src/entry_node/forwarded_request_p.h
@@ -19,8 +19,8 @@
 /// | sent | answered, no other attempt follows, the deadline passed, or the caller left | ended |
 #pragma once
 
-#include "attempt_rules_p.h"
-#include "forwarder_p.h"
+#include "entry_node/forwarder_p.h"
+#include "steering/attempt_rules_p.h"
 
 namespace larkrack
 {
--- a/src/entry_node/forwarder_p.h
+++ b/src/entry_node/forwarder_p.h
@@ -9,14 +9,14 @@
 /// backend servers, on the fleet view for the other nodes, and on edge_node to call tick() and pump().
 #pragma once
 
-#include "edge_log_p.h"
-#include "fleet_view_p.h"
-#include "service_split_p.h"
-#include "service_steering_p.h"
-#include "slot_queue_p.h"
-#include "upstream_p.h"
+#include "entry_node/edge_log_p.h"
+#include "entry_node/upstream_p.h"
+#include "steering/fleet_view_p.h"
+#include "steering/service_split_p.h"
+#include "steering/service_steering_p.h"
+#include "steering/slot_queue_p.h"
 
-#include "../metrics_p.h"
+#include "base/metrics_p.h"
 
 #include "larkrack/outcome.h"
 
--- a/src/entry_node/header_rules.cpp
+++ b/src/entry_node/header_rules.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 the larkrack developers. All rights reserved.
 // License: BSD 2-Clause, see LICENSE.
 
-#include "header_rules_p.h"
+#include "entry_node/header_rules_p.h"
 
 #include <boost/beast/http/rfc7230.hpp>
 
--- a/src/entry_node/header_rules_p.h
+++ b/src/entry_node/header_rules_p.h
@@ -5,7 +5,7 @@
 /// Which headers concern only one connection (RFC 9110, 7.6.1), and small helpers for header texts. No state.
 #pragma once
 
-#include "http_listener_p.h"
+#include "entry_node/http_listener_p.h"
 
 #include <string>
 
--- a/src/entry_node/heartbeat.cpp
+++ b/src/entry_node/heartbeat.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 the larkrack developers. All rights reserved.
 // License: BSD 2-Clause, see LICENSE.
 
-#include "heartbeat_p.h"
+#include "entry_node/heartbeat_p.h"
 
 #include <nlohmann/json.hpp>
 
--- a/src/entry_node/heartbeat_p.h
+++ b/src/entry_node/heartbeat_p.h
@@ -6,7 +6,7 @@
 /// node_heartbeat_p.h.
 #pragma once
 
-#include "node_heartbeat_p.h"
+#include "steering/node_heartbeat_p.h"
 
 #include "larkrack/outcome.h"
 
--- a/src/entry_node/http_listener.cpp
+++ b/src/entry_node/http_listener.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 the larkrack developers. All rights reserved.
 // License: BSD 2-Clause, see LICENSE.
 
-#include "http_listener_p.h"
+#include "entry_node/http_listener_p.h"
 
 namespace larkrack
 {
--- a/src/entry_node/http_listener_p.h
+++ b/src/entry_node/http_listener_p.h
@@ -8,7 +8,7 @@
 /// callers who leave before their answer.
 #pragma once
 
-#include "routing_table_p.h"
+#include "steering/routing_table_p.h"
 
 #include <boost/asio.hpp>
 #include <boost/beast/core.hpp>
--- a/src/entry_node/state_replica.cpp
+++ b/src/entry_node/state_replica.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 the larkrack developers. All rights reserved.
 // License: BSD 2-Clause, see LICENSE.
 
-#include "state_replica_p.h"
+#include "entry_node/state_replica_p.h"
 
 #include <algorithm>
 #include <set>
--- a/src/entry_node/state_replica_p.h
+++ b/src/entry_node/state_replica_p.h
@@ -9,12 +9,12 @@
 /// on edge_node to call tick().
 #pragma once
 
-#include "backend_registry_p.h"
-#include "edge_log_p.h"
-#include "entry_removal_p.h"
-#include "routing_table_p.h"
+#include "entry_node/backend_registry_p.h"
+#include "entry_node/edge_log_p.h"
+#include "steering/entry_removal_p.h"
+#include "steering/routing_table_p.h"
 
-#include "../store_p.h"
+#include "store/store_p.h"
 
 #include <deque>
 #include <functional>
--- a/src/entry_node/store_changes_codec.cpp
+++ b/src/entry_node/store_changes_codec.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 the larkrack developers. All rights reserved.
 // License: BSD 2-Clause, see LICENSE.
 
-#include "store_changes_codec_p.h"
+#include "entry_node/store_changes_codec_p.h"
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
--- a/src/entry_node/store_changes_codec_p.h
+++ b/src/entry_node/store_changes_codec_p.h
@@ -5,7 +5,7 @@
 /// CBOR codec for changes of the store's keys, as nodes tell them to each other.
 #pragma once
 
-#include "state_replica_p.h"
+#include "entry_node/state_replica_p.h"
 
 #include <cstdint>
 #include <vector>
--- a/src/entry_node/store_sync.cpp
+++ b/src/entry_node/store_sync.cpp
@@ -1,9 +1,9 @@
 // Copyright 2026 the larkrack developers. All rights reserved.
 // License: BSD 2-Clause, see LICENSE.
 
-#include "store_sync_p.h"
+#include "entry_node/store_sync_p.h"
 
-#include "store_pacing_p.h"
+#include "steering/store_pacing_p.h"
 
 #include "larkrack/config.h"
 
--- a/src/entry_node/store_sync_p.h
+++ b/src/entry_node/store_sync_p.h
@@ -9,7 +9,7 @@
 /// tell.
 #pragma once
 
-#include "state_replica_p.h"
+#include "entry_node/state_replica_p.h"
 
 #include <random>
 
--- a/src/entry_node/upstream_p.h
+++ b/src/entry_node/upstream_p.h
@@ -8,8 +8,8 @@
 /// for the entry and on its caller for retries: nothing is sent twice here.
 #pragma once
 
-#include "backend_registry_p.h"
-#include "http_listener_p.h"
+#include "entry_node/backend_registry_p.h"
+#include "entry_node/http_listener_p.h"
 
 #include <optional>
 #include <string>
--- a/src/entry_node/upstream_request_bytes.cpp
+++ b/src/entry_node/upstream_request_bytes.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 the larkrack developers. All rights reserved.
 // License: BSD 2-Clause, see LICENSE.
 
-#include "upstream_request_bytes_p.h"
+#include "entry_node/upstream_request_bytes_p.h"
 
 #include <algorithm>
 #include <cstdio>
--- a/src/entry_node/upstream_request_bytes_p.h
+++ b/src/entry_node/upstream_request_bytes_p.h
@@ -8,9 +8,9 @@
 /// Relies on header_rules_p.h for the headers that concern one connection only.
 #pragma once
 
-#include "header_rules_p.h"
-#include "names_p.h"
-#include "upstream_p.h"
+#include "entry_node/header_rules_p.h"
+#include "entry_node/upstream_p.h"
+#include "steering/names_p.h"
 
 namespace larkrack
 {
--- a/src/larkrackd/carrier.cpp
+++ b/src/larkrackd/carrier.cpp
@@ -1,11 +1,11 @@
 // Copyright 2026 the larkrack developers. All rights reserved.
 // License: BSD 2-Clause, see LICENSE.
 
-#include "carrier_p.h"
+#include "larkrackd/carrier_p.h"
 
 #include "larkrack/config.h"
 
-#include "relay_mark_p.h"
+#include "larkrackd/relay_mark_p.h"
 
 #include <algorithm>
 
--- a/src/larkrackd/carrier_attempts.cpp
+++ b/src/larkrackd/carrier_attempts.cpp
@@ -4,7 +4,7 @@
 /// @file
 /// The decisions about one request: to which entry VM each try goes, how long it waits for a slot, and when
 /// it gives up. The part of the carrier between a request and its exchanges.
-#include "carrier_p.h"
+#include "larkrackd/carrier_p.h"
 
 #include "larkrack/config.h"
 
--- a/src/larkrackd/carrier_deliver.cpp
+++ b/src/larkrackd/carrier_deliver.cpp
@@ -4,7 +4,7 @@
 /// @file
 /// The way of an answer back to the caller: small ones whole, large ones piece by piece while the next pieces
 /// are read ahead, so that a slow caller does not hold a slot of a backend server.
-#include "carrier_upstream_p.h"
+#include "larkrackd/carrier_upstream_p.h"
 
 #include "larkrack/config.h"
 
--- a/src/larkrackd/carrier_keyed.cpp
+++ b/src/larkrackd/carrier_keyed.cpp
@@ -5,7 +5,7 @@
 /// Requests with a key run at most once: the entry VM that the key's grant names, or the one that the key
 /// hashes to, remembers what became of it. The part of the carrier that finds this entry VM and asks its
 /// memory.
-#include "carrier_p.h"
+#include "larkrackd/carrier_p.h"
 
 #include "larkrack/config.h"
 
--- a/src/larkrackd/carrier_p.h
+++ b/src/larkrackd/carrier_p.h
@@ -10,16 +10,16 @@
 /// publishes; it decides by that view alone, so it goes on when the control thread stands still.
 #pragma once
 
-#include "gate_p.h"
-#include "grant_p.h"
-#include "http_p.h"
-#include "key_table_p.h"
-#include "lookup_p.h"
-#include "metrics_p.h"
-#include "relay_mark_p.h"
-#include "retry_token_bucket_p.h"
-#include "tracer_p.h"
-#include "traffic_view_p.h"
+#include "base/http_p.h"
+#include "base/metrics_p.h"
+#include "larkrackd/gate_p.h"
+#include "larkrackd/grant_p.h"
+#include "larkrackd/key_table_p.h"
+#include "larkrackd/lookup_p.h"
+#include "larkrackd/relay_mark_p.h"
+#include "larkrackd/retry_token_bucket_p.h"
+#include "larkrackd/tracer_p.h"
+#include "larkrackd/traffic_view_p.h"
 
 #include <memory>
 #include <random>
--- a/src/larkrackd/carrier_upstream_p.h
+++ b/src/larkrackd/carrier_upstream_p.h
@@ -7,7 +7,7 @@
 /// whoever ends it gives both back.
 #pragma once
 
-#include "carrier_p.h"
+#include "larkrackd/carrier_p.h"
 
 #include <deque>
 
--- a/src/larkrackd/chooser_plain.cpp
+++ b/src/larkrackd/chooser_plain.cpp
@@ -6,7 +6,7 @@
 /// compared with `own_count`, which is ahead of each: docs/MEASUREMENTS.md, "Beside the plain ways". None of
 /// them keeps to the slots.
 
-#include "chooser_p.h"
+#include "larkrackd/chooser_p.h"
 
 #include <algorithm>
 #include <random>
--- a/src/larkrackd/config_replica.cpp
+++ b/src/larkrackd/config_replica.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 the larkrack developers. All rights reserved.
 // License: BSD 2-Clause, see LICENSE.
 
-#include "config_replica_p.h"
+#include "larkrackd/config_replica_p.h"
 
 namespace larkrack
 {
--- a/src/larkrackd/config_replica_p.h
+++ b/src/larkrackd/config_replica_p.h
@@ -13,8 +13,8 @@
 /// Units: revisions only grow; bytes and seconds for a change and a whole transfer: docs/CAPACITY.md.
 #pragma once
 
-#include "message_p.h"
-#include "policy_p.h"
+#include "larkrackd/message_p.h"
+#include "larkrackd/policy_p.h"
 
 #include <deque>
 
--- a/src/larkrackd/control_messages.cpp
+++ b/src/larkrackd/control_messages.cpp
@@ -4,9 +4,9 @@
 /// @file
 /// What entry VMs tell each other: the part of control that sends heartbeats, answers questions for
 /// configuration and records, and notes who answers.
-#include "control_p.h"
+#include "larkrackd/control_p.h"
 
-#include "log_p.h"
+#include "larkrackd/log_p.h"
 
 namespace larkrack
 {
--- a/src/larkrackd/control_owners.cpp
+++ b/src/larkrackd/control_owners.cpp
@@ -3,9 +3,9 @@
 
 /// @file
 /// Who owns which backend servers: the part of control that keeps the records and the gate together.
-#include "control_p.h"
+#include "larkrackd/control_p.h"
 
-#include "log_p.h"
+#include "larkrackd/log_p.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/larkrackd/control_p.h
+++ b/src/larkrackd/control_p.h
@@ -10,12 +10,12 @@
 /// or peers it goes on with what it last heard, and names that as a degraded mode.
 #pragma once
 
-#include "membership_p.h"
-#include "ownership_p.h"
-#include "peers_p.h"
-#include "platform_sync_p.h"
-#include "shift_p.h"
-#include "traffic_view_p.h"
+#include "larkrackd/membership_p.h"
+#include "larkrackd/ownership_p.h"
+#include "larkrackd/peers_p.h"
+#include "larkrackd/platform_sync_p.h"
+#include "larkrackd/shift_p.h"
+#include "larkrackd/traffic_view_p.h"
 
 #include <memory>
 #include <set>
--- a/src/larkrackd/control_shifts.cpp
+++ b/src/larkrackd/control_shifts.cpp
@@ -3,9 +3,9 @@
 
 /// @file
 /// Shares and shifts: the part of control that moves traffic between regions.
-#include "control_p.h"
+#include "larkrackd/control_p.h"
 
-#include "log_p.h"
+#include "larkrackd/log_p.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/larkrackd/control_view.cpp
+++ b/src/larkrackd/control_view.cpp
@@ -4,7 +4,7 @@
 /// @file
 /// What the rest of the node sees of the fleet: the part of control that publishes snapshots to the traffic
 /// threads, asks backend servers for their load, and names the degraded modes.
-#include "control_p.h"
+#include "larkrackd/control_p.h"
 
 #include "larkrack/config.h"
 
--- a/src/larkrackd/driver_lease.cpp
+++ b/src/larkrackd/driver_lease.cpp
@@ -1,9 +1,9 @@
 // Copyright 2026 the larkrack developers. All rights reserved.
 // License: BSD 2-Clause, see LICENSE.
 
-#include "driver_lease_p.h"
+#include "larkrackd/driver_lease_p.h"
 
-#include "platform_keys_p.h"
+#include "larkrackd/platform_keys_p.h"
 
 namespace larkrack
 {
--- a/src/larkrackd/driver_lease_p.h
+++ b/src/larkrackd/driver_lease_p.h
@@ -7,7 +7,7 @@
 /// but time: each step of a shift is a compare-and-swap of its own.
 #pragma once
 
-#include "store_p.h"
+#include "store/store_p.h"
 
 #include <string>
 
--- a/src/larkrackd/gate_p.h
+++ b/src/larkrackd/gate_p.h
@@ -21,9 +21,9 @@
 /// plain ways).
 #pragma once
 
-#include "chooser_p.h"
-#include "clock_p.h"
-#include "settings_p.h"
+#include "base/clock_p.h"
+#include "base/settings_p.h"
+#include "larkrackd/chooser_p.h"
 
 #include <cstdint>
 #include <functional>
--- a/src/larkrackd/grant.cpp
+++ b/src/larkrackd/grant.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 the larkrack developers. All rights reserved.
 // License: BSD 2-Clause, see LICENSE.
 
-#include "grant_p.h"
+#include "larkrackd/grant_p.h"
 
 #include <boost/algorithm/string/classification.hpp>
 #include <boost/algorithm/string/split.hpp>
--- a/src/larkrackd/grant_p.h
+++ b/src/larkrackd/grant_p.h
@@ -11,7 +11,7 @@
 /// Relies on: carrier for checking expiry and life; clocks within k_clock_skew of each other.
 #pragma once
 
-#include "clock_p.h"
+#include "base/clock_p.h"
 
 #include "larkrack/ids.h"
 #include "larkrack/outcome.h"
--- a/src/larkrackd/key_table.cpp
+++ b/src/larkrackd/key_table.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 the larkrack developers. All rights reserved.
 // License: BSD 2-Clause, see LICENSE.
 
-#include "key_table_p.h"
+#include "larkrackd/key_table_p.h"
 
 namespace larkrack
 {
--- a/src/larkrackd/key_table_p.h
+++ b/src/larkrackd/key_table_p.h
@@ -15,7 +15,7 @@
 
 #include "larkrack/config.h"
 
-#include "clock_p.h"
+#include "base/clock_p.h"
 
 #include <deque>
 #include <functional>
--- a/src/larkrackd/log.cpp
+++ b/src/larkrackd/log.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 the larkrack developers. All rights reserved.
 // License: BSD 2-Clause, see LICENSE.
 
-#include "log_p.h"
+#include "larkrackd/log_p.h"
 
 #include <chrono>
 #include <easylogging++.h>
--- a/src/larkrackd/log_p.h
+++ b/src/larkrackd/log_p.h
@@ -11,7 +11,7 @@
 /// (docs/PLATFORM.md).
 #pragma once
 
-#include "events_p.h"
+#include "base/events_p.h"
 
 #include <string>
 
--- a/src/larkrackd/lookup.cpp
+++ b/src/larkrackd/lookup.cpp
@@ -1,11 +1,11 @@
 // Copyright 2026 the larkrack developers. All rights reserved.
 // License: BSD 2-Clause, see LICENSE.
 
-#include "lookup_p.h"
+#include "larkrackd/lookup_p.h"
 
 #include "larkrack/config.h"
 
-#include "hash_p.h"
+#include "larkrackd/hash_p.h"
 
 #include <nlohmann/json.hpp>
 
--- a/src/larkrackd/lookup_p.h
+++ b/src/larkrackd/lookup_p.h
@@ -15,8 +15,8 @@
 /// Figures: docs/MEASUREMENTS.md (What an entry VM adds; Beside the plain ways: relayed).
 #pragma once
 
-#include "grant_p.h"
-#include "traffic_view_p.h"
+#include "larkrackd/grant_p.h"
+#include "larkrackd/traffic_view_p.h"
 
 #include <map>
 #include <random>
--- a/src/larkrackd/membership_p.h
+++ b/src/larkrackd/membership_p.h
@@ -18,9 +18,9 @@
 
 #include "larkrack/config.h"
 
-#include "clock_p.h"
-#include "gate_p.h"
-#include "policy_p.h"
+#include "base/clock_p.h"
+#include "larkrackd/gate_p.h"
+#include "larkrackd/policy_p.h"
 
 #include <map>
 #include <set>
--- a/src/larkrackd/message_p.h
+++ b/src/larkrackd/message_p.h
@@ -10,8 +10,8 @@
 /// Relies on: peers for transport. Both sides speak the same protocol version (checked at the handshake).
 #pragma once
 
-#include "membership_p.h"
-#include "policy_p.h"
+#include "larkrackd/membership_p.h"
+#include "larkrackd/policy_p.h"
 
 #include <cstdint>
 #include <string>
--- a/src/larkrackd/mix_p.h
+++ b/src/larkrackd/mix_p.h
@@ -13,8 +13,8 @@
 /// Reasons and figures: docs/DESIGN.md (Shifts), docs/MEASUREMENTS.md (rows shift and crash_region).
 #pragma once
 
-#include "clock_p.h"
-#include "policy_p.h"
+#include "base/clock_p.h"
+#include "larkrackd/policy_p.h"
 
 #include <deque>
 #include <vector>
--- a/src/larkrackd/node.cpp
+++ b/src/larkrackd/node.cpp
@@ -1,16 +1,16 @@
 // Copyright 2026 the larkrack developers. All rights reserved.
 // License: BSD 2-Clause, see LICENSE.
 
-#include "node_p.h"
+#include "larkrackd/node_p.h"
 
 #include "larkrack/config.h"
 
-#include "control_p.h"
-#include "log_p.h"
-#include "metrics_p.h"
-#include "operators_p.h"
-#include "tracer_p.h"
-#include "traffic_p.h"
+#include "base/metrics_p.h"
+#include "larkrackd/control_p.h"
+#include "larkrackd/log_p.h"
+#include "larkrackd/operators_p.h"
+#include "larkrackd/tracer_p.h"
+#include "larkrackd/traffic_p.h"
 
 namespace larkrack
 {
--- a/src/larkrackd/node_p.h
+++ b/src/larkrackd/node_p.h
@@ -10,8 +10,8 @@
 /// Relies on: SIGINT or SIGTERM to begin the stop.
 #pragma once
 
-#include "kernel_p.h"
-#include "settings_p.h"
+#include "base/kernel_p.h"
+#include "base/settings_p.h"
 
 #include <boost/asio.hpp>
 #include <boost/asio/spawn.hpp>
--- a/src/larkrackd/operators_p.h
+++ b/src/larkrackd/operators_p.h
@@ -8,10 +8,10 @@
 /// change needs the operators' token.
 #pragma once
 
-#include "control_p.h"
-#include "http_p.h"
-#include "metrics_p.h"
-#include "traffic_p.h"
+#include "base/http_p.h"
+#include "base/metrics_p.h"
+#include "larkrackd/control_p.h"
+#include "larkrackd/traffic_p.h"
 
 namespace larkrack
 {
--- a/src/larkrackd/operators_views.cpp
+++ b/src/larkrackd/operators_views.cpp
@@ -4,9 +4,9 @@
 /// @file
 /// What operators see: status, the explanation of one caller's way, metrics, and the live stream of news. The
 /// part of the operators' listener that changes nothing.
-#include "operators_p.h"
+#include "larkrackd/operators_p.h"
 
-#include "lookup_p.h"
+#include "larkrackd/lookup_p.h"
 
 namespace larkrack
 {
--- a/src/larkrackd/ownership.cpp
+++ b/src/larkrackd/ownership.cpp
@@ -1,9 +1,9 @@
 // Copyright 2026 the larkrack developers. All rights reserved.
 // License: BSD 2-Clause, see LICENSE.
 
-#include "ownership_p.h"
+#include "larkrackd/ownership_p.h"
 
-#include "hash_p.h"
+#include "larkrackd/hash_p.h"
 
 #include <algorithm>
 
--- a/src/larkrackd/ownership_p.h
+++ b/src/larkrackd/ownership_p.h
@@ -19,8 +19,8 @@
 /// platform_outage, cut_domain).
 #pragma once
 
-#include "clock_p.h"
-#include "policy_p.h"
+#include "base/clock_p.h"
+#include "larkrackd/policy_p.h"
 
 #include <map>
 #include <set>
--- a/src/larkrackd/peers_p.h
+++ b/src/larkrackd/peers_p.h
@@ -11,10 +11,10 @@
 /// Relies on: membership and anti-entropy to repeat news that were lost; it never sends a message twice.
 #pragma once
 
-#include "clock_p.h"
-#include "grant_p.h"
-#include "message_p.h"
-#include "settings_p.h"
+#include "base/clock_p.h"
+#include "base/settings_p.h"
+#include "larkrackd/grant_p.h"
+#include "larkrackd/message_p.h"
 
 #include <boost/asio.hpp>
 
--- a/src/larkrackd/peers_websocket.cpp
+++ b/src/larkrackd/peers_websocket.cpp
@@ -1,11 +1,11 @@
 // Copyright 2026 the larkrack developers. All rights reserved.
 // License: BSD 2-Clause, see LICENSE.
 
-#include "peers_p.h"
+#include "larkrackd/peers_p.h"
 
 #include "larkrack/config.h"
 
-#include "log_p.h"
+#include "larkrackd/log_p.h"
 
 #include <websocketpp/client.hpp>
 #include <websocketpp/config/asio_no_tls.hpp>
--- a/src/larkrackd/platform_keys_p.h
+++ b/src/larkrackd/platform_keys_p.h
@@ -8,7 +8,7 @@
 /// Pure functions.
 #pragma once
 
-#include "policy_p.h"
+#include "larkrackd/policy_p.h"
 
 #include <string>
 
--- a/src/larkrackd/platform_sync.cpp
+++ b/src/larkrackd/platform_sync.cpp
@@ -1,9 +1,9 @@
 // Copyright 2026 the larkrack developers. All rights reserved.
 // License: BSD 2-Clause, see LICENSE.
 
-#include "platform_sync_p.h"
+#include "larkrackd/platform_sync_p.h"
 
-#include "log_p.h"
+#include "larkrackd/log_p.h"
 
 #include <algorithm>
 
--- a/src/larkrackd/platform_sync_p.h
+++ b/src/larkrackd/platform_sync_p.h
@@ -9,12 +9,12 @@
 /// the node goes on with what it knows; when it comes back with older data, a newer node writes its own back.
 #pragma once
 
-#include "config_replica_p.h"
-#include "driver_lease_p.h"
-#include "platform_keys_p.h"
-#include "record_replica_p.h"
-#include "store_p.h"
-#include "vm_list_p.h"
+#include "larkrackd/config_replica_p.h"
+#include "larkrackd/driver_lease_p.h"
+#include "larkrackd/platform_keys_p.h"
+#include "larkrackd/record_replica_p.h"
+#include "larkrackd/vm_list_p.h"
+#include "store/store_p.h"
 
 #include <functional>
 #include <random>
--- a/src/larkrackd/platform_sync_write.cpp
+++ b/src/larkrackd/platform_sync_write.cpp
@@ -4,9 +4,9 @@
 /// @file
 /// What this node writes to the platform: operators' changes, the whole configuration when the platform came
 /// back with older data, and records.
-#include "platform_sync_p.h"
+#include "larkrackd/platform_sync_p.h"
 
-#include "log_p.h"
+#include "larkrackd/log_p.h"
 
 namespace larkrack
 {
--- a/src/larkrackd/policy_p.h
+++ b/src/larkrackd/policy_p.h
@@ -12,9 +12,9 @@
 /// say. Cost of building with up to 1.1 million client blocks: docs/CAPACITY.md.
 #pragma once
 
-#include "prefix_table_p.h"
-#include "schema_p.h"
-#include "settings_p.h"
+#include "base/schema_p.h"
+#include "base/settings_p.h"
+#include "larkrackd/prefix_table_p.h"
 
 #include <chrono>
 #include <map>
--- a/src/larkrackd/record_replica.cpp
+++ b/src/larkrackd/record_replica.cpp
@@ -1,9 +1,9 @@
 // Copyright 2026 the larkrack developers. All rights reserved.
 // License: BSD 2-Clause, see LICENSE.
 
-#include "record_replica_p.h"
+#include "larkrackd/record_replica_p.h"
 
-#include "hash_p.h"
+#include "larkrackd/hash_p.h"
 
 namespace larkrack
 {
--- a/src/larkrackd/record_replica_p.h
+++ b/src/larkrackd/record_replica_p.h
@@ -11,7 +11,7 @@
 /// Relies on: writers that raise the sequence by compare-and-swap (platform_sync::update_record).
 #pragma once
 
-#include "message_p.h"
+#include "larkrackd/message_p.h"
 
 #include <map>
 #include <string>
--- a/src/larkrackd/relay_mark.cpp
+++ b/src/larkrackd/relay_mark.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 the larkrack developers. All rights reserved.
 // License: BSD 2-Clause, see LICENSE.
 
-#include "relay_mark_p.h"
+#include "larkrackd/relay_mark_p.h"
 
 #include <cstdlib>
 
--- a/src/larkrackd/relay_mark_p.h
+++ b/src/larkrackd/relay_mark_p.h
@@ -7,7 +7,7 @@
 /// mark's text; relies on the secret that all entry VMs share, and on their clocks being close.
 #pragma once
 
-#include "grant_p.h"
+#include "larkrackd/grant_p.h"
 
 #include <optional>
 #include <string>
--- a/src/larkrackd/shift_p.h
+++ b/src/larkrackd/shift_p.h
@@ -13,8 +13,8 @@
 /// Reasons and figures: docs/DESIGN.md (Shifts), docs/MEASUREMENTS.md (row shift).
 #pragma once
 
-#include "mix_p.h"
-#include "policy_p.h"
+#include "larkrackd/mix_p.h"
+#include "larkrackd/policy_p.h"
 
 #include <map>
 #include <string>
--- a/src/larkrackd/status_page.cpp
+++ b/src/larkrackd/status_page.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 the larkrack developers. All rights reserved.
 // License: BSD 2-Clause, see LICENSE.
 
-#include "operators_p.h"
+#include "larkrackd/operators_p.h"
 
 namespace larkrack
 {
--- a/src/larkrackd/tracer_otlp.cpp
+++ b/src/larkrackd/tracer_otlp.cpp
@@ -1,10 +1,10 @@
 // Copyright 2026 the larkrack developers. All rights reserved.
 // License: BSD 2-Clause, see LICENSE.
 
-#include "tracer_p.h"
+#include "larkrackd/tracer_p.h"
 
-#include "http_p.h"
-#include "log_p.h"
+#include "base/http_p.h"
+#include "larkrackd/log_p.h"
 
 #include <fstream>
 #include <random>
--- a/src/larkrackd/tracer_p.h
+++ b/src/larkrackd/tracer_p.h
@@ -12,8 +12,8 @@
 /// Relies on: settings for file or collector. Times in microseconds since 1970, nanoseconds on the wire.
 #pragma once
 
-#include "kernel_p.h"
-#include "settings_p.h"
+#include "base/kernel_p.h"
+#include "base/settings_p.h"
 
 #include <boost/asio.hpp>
 #include <opentracing/tracer.h>
--- a/src/larkrackd/traffic.cpp
+++ b/src/larkrackd/traffic.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 the larkrack developers. All rights reserved.
 // License: BSD 2-Clause, see LICENSE.
 
-#include "traffic_p.h"
+#include "larkrackd/traffic_p.h"
 
 #include "larkrack/config.h"
 
--- a/src/larkrackd/traffic_p.h
+++ b/src/larkrackd/traffic_p.h
@@ -10,7 +10,7 @@
 /// Relies on: node for the order of a planned stop (begin_stop, stop_accepting, shutdown).
 #pragma once
 
-#include "carrier_p.h"
+#include "larkrackd/carrier_p.h"
 
 #include <memory>
 #include <thread>
--- a/src/larkrackd/traffic_view_p.h
+++ b/src/larkrackd/traffic_view_p.h
@@ -10,10 +10,10 @@
 /// Relies on: control, which publishes several times in a heartbeat interval and after each change.
 #pragma once
 
-#include "gate_p.h"
-#include "membership_p.h"
-#include "mix_p.h"
-#include "policy_p.h"
+#include "larkrackd/gate_p.h"
+#include "larkrackd/membership_p.h"
+#include "larkrackd/mix_p.h"
+#include "larkrackd/policy_p.h"
 
 #include <atomic>
 #include <memory>
--- a/src/larkrackd/vm_list.cpp
+++ b/src/larkrackd/vm_list.cpp
@@ -1,11 +1,11 @@
 // Copyright 2026 the larkrack developers. All rights reserved.
 // License: BSD 2-Clause, see LICENSE.
 
-#include "vm_list_p.h"
+#include "larkrackd/vm_list_p.h"
 
 #include "larkrack/config.h"
 
-#include "platform_keys_p.h"
+#include "larkrackd/platform_keys_p.h"
 
 namespace larkrack
 {
--- a/src/larkrackd/vm_list_p.h
+++ b/src/larkrackd/vm_list_p.h
@@ -7,7 +7,7 @@
 /// not answer the last list stays, so that nobody is taken for gone by mistake.
 #pragma once
 
-#include "http_p.h"
+#include "base/http_p.h"
 
 #include <nlohmann/json.hpp>
 
--- a/src/steering/attempt_rules.cpp
+++ b/src/steering/attempt_rules.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 the larkrack developers. All rights reserved.
 // License: BSD 2-Clause, see LICENSE.
 
-#include "attempt_rules_p.h"
+#include "steering/attempt_rules_p.h"
 
 namespace larkrack
 {
--- a/src/steering/attempt_rules_p.h
+++ b/src/steering/attempt_rules_p.h
@@ -29,8 +29,8 @@
 /// retries that need the budget.
 #pragma once
 
-#include "clock_p.h"
-#include "routing_table_p.h"
+#include "base/clock_p.h"
+#include "steering/routing_table_p.h"
 
 #include "larkrack/outcome.h"
 
--- a/src/steering/backend_choice_p.h
+++ b/src/steering/backend_choice_p.h
@@ -32,10 +32,10 @@
 /// this node. Grants of cold backend servers are counted here; all else is counted when the request is sent.
 #pragma once
 
-#include "affinity_key_p.h"
-#include "backend_state_p.h"
-#include "shared_budgets_p.h"
-#include "slot_portion_p.h"
+#include "steering/affinity_key_p.h"
+#include "steering/backend_state_p.h"
+#include "steering/shared_budgets_p.h"
+#include "steering/slot_portion_p.h"
 
 #include <vector>
 
--- a/src/steering/backend_state_p.h
+++ b/src/steering/backend_state_p.h
@@ -11,10 +11,10 @@
 /// Relies on: backend_registry, which owns the objects and puts in what the platform's registry says.
 #pragma once
 
-#include "load_estimate_p.h"
-#include "names_p.h"
-#include "outlier_ejection_p.h"
-#include "token_bucket_p.h"
+#include "steering/load_estimate_p.h"
+#include "steering/names_p.h"
+#include "steering/outlier_ejection_p.h"
+#include "steering/token_bucket_p.h"
 
 #include <cstdint>
 
--- a/src/steering/entry_removal.cpp
+++ b/src/steering/entry_removal.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 the larkrack developers. All rights reserved.
 // License: BSD 2-Clause, see LICENSE.
 
-#include "entry_removal_p.h"
+#include "steering/entry_removal_p.h"
 
 #include <algorithm>
 
--- a/src/steering/entry_removal_p.h
+++ b/src/steering/entry_removal_p.h
@@ -24,7 +24,7 @@
 /// Relies on: state_replica to ask at each tick and to forget what came back.
 #pragma once
 
-#include "../clock_p.h"
+#include "base/clock_p.h"
 
 #include <optional>
 
--- a/src/steering/fleet_view_p.h
+++ b/src/steering/fleet_view_p.h
@@ -7,8 +7,8 @@
 /// Relies on fleet to implement it from heartbeats; a test gives fixed answers.
 #pragma once
 
-#include "backend_choice_p.h"
-#include "node_heartbeat_p.h"
+#include "steering/backend_choice_p.h"
+#include "steering/node_heartbeat_p.h"
 
 namespace larkrack
 {
--- a/src/steering/key_frequency_p.h
+++ b/src/steering/key_frequency_p.h
@@ -12,7 +12,7 @@
 /// Other ways: none was measured.
 #pragma once
 
-#include "affinity_key_p.h"
+#include "steering/affinity_key_p.h"
 
 #include <array>
 #include <cstddef>
--- a/src/steering/load_estimate_p.h
+++ b/src/steering/load_estimate_p.h
@@ -20,7 +20,7 @@
 /// Relies on: in_flight being raised and lowered with each exchange, also with one that is cancelled.
 #pragma once
 
-#include "../clock_p.h"
+#include "base/clock_p.h"
 
 namespace larkrack
 {
--- a/src/steering/lookup_answer_p.h
+++ b/src/steering/lookup_answer_p.h
@@ -18,7 +18,7 @@
 /// (longest_silence), and by callers for the time to live of the answer on top.
 #pragma once
 
-#include "node_heartbeat_p.h"
+#include "steering/node_heartbeat_p.h"
 
 namespace larkrack
 {
--- a/src/steering/node_heartbeat_p.h
+++ b/src/steering/node_heartbeat_p.h
@@ -6,10 +6,10 @@
 /// made in heartbeat_p.h.
 #pragma once
 
-#include "names_p.h"
-#include "rates_p.h"
+#include "steering/names_p.h"
+#include "steering/rates_p.h"
 
-#include "../clock_p.h"
+#include "base/clock_p.h"
 
 #include <cstdint>
 #include <optional>
--- a/src/steering/node_liveness_p.h
+++ b/src/steering/node_liveness_p.h
@@ -21,7 +21,7 @@
 /// others from its own view.
 #pragma once
 
-#include "node_heartbeat_p.h"
+#include "steering/node_heartbeat_p.h"
 
 namespace larkrack
 {
--- a/src/steering/outlier_ejection_p.h
+++ b/src/steering/outlier_ejection_p.h
@@ -20,7 +20,7 @@
 /// Relies on: each exchange telling its end once. Each node decides for itself; nothing is told to others.
 #pragma once
 
-#include "../clock_p.h"
+#include "base/clock_p.h"
 
 namespace larkrack
 {
--- a/src/steering/planned_stop.cpp
+++ b/src/steering/planned_stop.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 the larkrack developers. All rights reserved.
 // License: BSD 2-Clause, see LICENSE.
 
-#include "planned_stop_p.h"
+#include "steering/planned_stop_p.h"
 
 namespace larkrack
 {
--- a/src/steering/planned_stop_p.h
+++ b/src/steering/planned_stop_p.h
@@ -21,7 +21,7 @@
 /// Relies on: the node to ask at each k_stop_step, and the platform to keep to the grace.
 #pragma once
 
-#include "../clock_p.h"
+#include "base/clock_p.h"
 
 namespace larkrack
 {
--- a/src/steering/rates_p.h
+++ b/src/steering/rates_p.h
@@ -5,7 +5,7 @@
 /// Request rates, in requests a second, by what they belong to.
 #pragma once
 
-#include "names_p.h"
+#include "steering/names_p.h"
 
 #include <map>
 
--- a/src/steering/region_choice_p.h
+++ b/src/steering/region_choice_p.h
@@ -23,11 +23,11 @@
 /// Relies on region_shares_p.h for the shares, and on region_distances_p.h.
 #pragma once
 
-#include "affinity_key_p.h"
-#include "region_distances_p.h"
-#include "region_shares_p.h"
-#include "routing_table_p.h"
-#include "token_bucket_p.h"
+#include "steering/affinity_key_p.h"
+#include "steering/region_distances_p.h"
+#include "steering/region_shares_p.h"
+#include "steering/routing_table_p.h"
+#include "steering/token_bucket_p.h"
 
 #include <vector>
 
--- a/src/steering/region_distances_p.h
+++ b/src/steering/region_distances_p.h
@@ -18,7 +18,7 @@
 /// Relies on upstream_exchange to time new connections.
 #pragma once
 
-#include "names_p.h"
+#include "steering/names_p.h"
 
 #include <chrono>
 #include <map>
--- a/src/steering/region_plan_p.h
+++ b/src/steering/region_plan_p.h
@@ -23,8 +23,8 @@
 /// Relies on heartbeats for the rates of other nodes, and on backend_state_p.h for who is usable and warm.
 #pragma once
 
-#include "backend_state_p.h"
-#include "rates_p.h"
+#include "steering/backend_state_p.h"
+#include "steering/rates_p.h"
 
 #include <map>
 #include <vector>
--- a/src/steering/region_shares.cpp
+++ b/src/steering/region_shares.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 the larkrack developers. All rights reserved.
 // License: BSD 2-Clause, see LICENSE.
 
-#include "region_shares_p.h"
+#include "steering/region_shares_p.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/steering/region_shares_p.h
+++ b/src/steering/region_shares_p.h
@@ -28,8 +28,8 @@
 /// Relies on the caller to tell where a request ran in the end (move_credit).
 #pragma once
 
-#include "clock_p.h"
-#include "region_plan_p.h"
+#include "base/clock_p.h"
+#include "steering/region_plan_p.h"
 
 #include <chrono>
 #include <map>
--- a/src/steering/rendezvous.cpp
+++ b/src/steering/rendezvous.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 the larkrack developers. All rights reserved.
 // License: BSD 2-Clause, see LICENSE.
 
-#include "rendezvous_p.h"
+#include "steering/rendezvous_p.h"
 
 #define XXH_INLINE_ALL
 #include <xxhash.h>
--- a/src/steering/request_times.cpp
+++ b/src/steering/request_times.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 the larkrack developers. All rights reserved.
 // License: BSD 2-Clause, see LICENSE.
 
-#include "request_times_p.h"
+#include "steering/request_times_p.h"
 
 #include <algorithm>
 #include <charconv>
--- a/src/steering/retry_budget_p.h
+++ b/src/steering/retry_budget_p.h
@@ -19,7 +19,7 @@
 /// need the budget at all is decided in attempt_rules_p.h.
 #pragma once
 
-#include "clock_p.h"
+#include "base/clock_p.h"
 
 #include <deque>
 
--- a/src/steering/service_split_p.h
+++ b/src/steering/service_split_p.h
@@ -15,7 +15,7 @@
 /// Relies on one object for each route.
 #pragma once
 
-#include "routing_table_p.h"
+#include "steering/routing_table_p.h"
 
 #include <map>
 #include <vector>
--- a/src/steering/service_steering_p.h
+++ b/src/steering/service_steering_p.h
@@ -11,12 +11,12 @@
 /// Relies on the owner to call update() at a steady interval, with figures of all nodes.
 #pragma once
 
-#include "backend_choice_p.h"
-#include "demand_meter_p.h"
-#include "key_frequency_p.h"
-#include "region_choice_p.h"
-#include "region_plan_p.h"
-#include "retry_budget_p.h"
+#include "steering/backend_choice_p.h"
+#include "steering/demand_meter_p.h"
+#include "steering/key_frequency_p.h"
+#include "steering/region_choice_p.h"
+#include "steering/region_plan_p.h"
+#include "steering/retry_budget_p.h"
 
 #include <optional>
 
--- a/src/steering/shared_budgets.cpp
+++ b/src/steering/shared_budgets.cpp
@@ -1,9 +1,9 @@
 // Copyright 2026 the larkrack developers. All rights reserved.
 // License: BSD 2-Clause, see LICENSE.
 
-#include "shared_budgets_p.h"
+#include "steering/shared_budgets_p.h"
 
-#include "rendezvous_p.h"
+#include "steering/rendezvous_p.h"
 
 #include <algorithm>
 
--- a/src/steering/shared_budgets_p.h
+++ b/src/steering/shared_budgets_p.h
@@ -24,7 +24,7 @@
 /// Relies on: node_liveness for who is live.
 #pragma once
 
-#include "names_p.h"
+#include "steering/names_p.h"
 
 #include <cstdint>
 #include <vector>
--- a/src/steering/slot_portion.cpp
+++ b/src/steering/slot_portion.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 the larkrack developers. All rights reserved.
 // License: BSD 2-Clause, see LICENSE.
 
-#include "slot_portion_p.h"
+#include "steering/slot_portion_p.h"
 
 #include <cmath>
 
--- a/src/steering/slot_portion_p.h
+++ b/src/steering/slot_portion_p.h
@@ -21,7 +21,7 @@
 /// Relies on: nodes having heard each other's rates. For one heartbeat after a change parts may overlap.
 #pragma once
 
-#include "backend_state_p.h"
+#include "steering/backend_state_p.h"
 
 #include <vector>
 
--- a/src/steering/store_pacing.cpp
+++ b/src/steering/store_pacing.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 the larkrack developers. All rights reserved.
 // License: BSD 2-Clause, see LICENSE.
 
-#include "store_pacing_p.h"
+#include "steering/store_pacing_p.h"
 
 #include <algorithm>
 
--- a/src/steering/store_pacing_p.h
+++ b/src/steering/store_pacing_p.h
@@ -20,7 +20,7 @@
 /// Relies on: store_readers for whether the node reads at all.
 #pragma once
 
-#include "../clock_p.h"
+#include "base/clock_p.h"
 
 #include <random>
 
--- a/src/steering/store_readers_p.h
+++ b/src/steering/store_readers_p.h
@@ -24,7 +24,7 @@
 /// Relies on: node_liveness for who is live.
 #pragma once
 
-#include "node_heartbeat_p.h"
+#include "steering/node_heartbeat_p.h"
 
 namespace larkrack
 {
--- a/src/steering/token_bucket.cpp
+++ b/src/steering/token_bucket.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 the larkrack developers. All rights reserved.
 // License: BSD 2-Clause, see LICENSE.
 
-#include "token_bucket_p.h"
+#include "steering/token_bucket_p.h"
 
 #include <algorithm>
 
--- a/src/steering/token_bucket_p.h
+++ b/src/steering/token_bucket_p.h
@@ -12,7 +12,7 @@
 /// Relies on a steady clock only.
 #pragma once
 
-#include "clock_p.h"
+#include "base/clock_p.h"
 
 namespace larkrack
 {
--- a/src/store/store_base64.cpp
+++ b/src/store/store_base64.cpp
@@ -9,7 +9,7 @@
 /// 0.20 to 0.21 microseconds against 0.14 to 0.24 for a value of 40 bytes there and back. Memory of an entry
 /// VM is priced, so this stays.
 
-#include "store_p.h"
+#include "store/store_p.h"
 
 #include <boost/beast/core/detail/base64.hpp>
 
--- a/src/store/store_p.h
+++ b/src/store/store_p.h
@@ -11,7 +11,7 @@
 /// k_platform_deadline.
 #pragma once
 
-#include "http_p.h"
+#include "base/http_p.h"
 
 #include <cstdint>
 #include <functional>
--- a/src/testing/callers.cpp
+++ b/src/testing/callers.cpp
@@ -1,9 +1,9 @@
 // Copyright 2026 the larkrack developers. All rights reserved.
 // License: BSD 2-Clause, see LICENSE.
 
-#include "callers_p.h"
+#include "testing/callers_p.h"
 
-#include "pattern_p.h"
+#include "testing/pattern_p.h"
 
 #include <algorithm>
 
--- a/src/testing/callers_p.h
+++ b/src/testing/callers_p.h
@@ -8,9 +8,9 @@
 /// of the entry VMs, and a history to write to.
 #pragma once
 
-#include "deployment_p.h"
-#include "history_p.h"
-#include "http_p.h"
+#include "base/http_p.h"
+#include "testing/deployment_p.h"
+#include "testing/history_p.h"
 
 #include <map>
 #include <random>
--- a/src/testing/checker_p.h
+++ b/src/testing/checker_p.h
@@ -6,7 +6,7 @@
 /// Owns: nothing. Relies on: the clocks of all writers, which are one clock where all run on one host.
 #pragma once
 
-#include "deployment_p.h"
+#include "testing/deployment_p.h"
 
 #include <nlohmann/json.hpp>
 
--- a/src/testing/clock_virtual_p.h
+++ b/src/testing/clock_virtual_p.h
@@ -5,7 +5,7 @@
 /// Time for tests.
 #pragma once
 
-#include "clock_p.h"
+#include "base/clock_p.h"
 
 namespace larkrack
 {
--- a/src/testing/deployment_p.h
+++ b/src/testing/deployment_p.h
@@ -6,7 +6,7 @@
 /// Owns: nothing. Relies on: `deployment.json` of an example, which `scripts/make-examples` writes.
 #pragma once
 
-#include "settings_p.h"
+#include "base/settings_p.h"
 
 #include <map>
 #include <string>
--- a/src/testing/fake_backend_p.h
+++ b/src/testing/fake_backend_p.h
@@ -7,8 +7,8 @@
 /// Owns: its runs in flight and its faults. Relies on: a history that takes a line for each run.
 #pragma once
 
-#include "history_p.h"
-#include "http_p.h"
+#include "base/http_p.h"
+#include "testing/history_p.h"
 
 #include <memory>
 #include <random>
--- a/src/testing/fake_platform_p.h
+++ b/src/testing/fake_platform_p.h
@@ -6,7 +6,7 @@
 /// Owns: the store's data, the list of VMs, the faults. Relies on: nothing outside its process.
 #pragma once
 
-#include "store_engine_p.h"
+#include "testing/store_engine_p.h"
 
 namespace larkrack
 {
--- a/src/testing/history.cpp
+++ b/src/testing/history.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 the larkrack developers. All rights reserved.
 // License: BSD 2-Clause, see LICENSE.
 
-#include "history_p.h"
+#include "testing/history_p.h"
 
 namespace larkrack
 {
--- a/src/testing/store_engine_p.h
+++ b/src/testing/store_engine_p.h
@@ -7,7 +7,7 @@
 /// Owns: values, leases and the log of changes. Relies on: the caller for the time. One thread.
 #pragma once
 
-#include "store_p.h"
+#include "store/store_p.h"
 
 namespace larkrack
 {
--- a/src/testing/store_memory_p.h
+++ b/src/testing/store_memory_p.h
@@ -6,7 +6,7 @@
 /// Owns: its faults. Relies on: a store engine, which several stores may share. One thread.
 #pragma once
 
-#include "store_engine_p.h"
+#include "testing/store_engine_p.h"
 
 namespace larkrack
 {
--- a/tests/carrier_test.cpp
+++ b/tests/carrier_test.cpp
@@ -6,9 +6,9 @@
 
 #include "fixtures.h"
 
-#include "carrier_p.h"
-#include "fake_backend_p.h"
-#include "pattern_p.h"
+#include "larkrackd/carrier_p.h"
+#include "testing/fake_backend_p.h"
+#include "testing/pattern_p.h"
 
 namespace larkrack
 {
--- a/tests/checker_test.cpp
+++ b/tests/checker_test.cpp
@@ -6,7 +6,7 @@
 
 #include "fixtures.h"
 
-#include "checker_p.h"
+#include "testing/checker_p.h"
 
 namespace larkrack
 {
--- a/tests/edge_fixture.h
+++ b/tests/edge_fixture.h
@@ -7,7 +7,7 @@
 
 #include "fixtures.h"
 
-#include "edge/forwarder_p.h"
+#include "entry_node/forwarder_p.h"
 
 #include <deque>
 
@@ -271,8 +271,8 @@
 		caller_limits limits;
 		limits.header_bytes = 2048;
 		limits.body_bytes = 100000;
-		return std::make_shared<const routing_table>(_version, std::vector<route>{read, pay},
-		    std::vector<routed_service>{{"shop", 0, 0.0}}, limits);
+		return std::make_shared<const routing_table>(
+		    _version, std::vector<route>{read, pay}, std::vector<routed_service>{{"shop", 0, 0.0}}, limits);
 	}
 
 	scripted_backend& add_backend(const std::string& _id, int _slots = 3)
--- a/tests/edge_settings_test.cpp
+++ b/tests/edge_settings_test.cpp
@@ -3,8 +3,8 @@
 
 #include "fixtures.h"
 
-#include "edge/edge_log_p.h"
-#include "edge/edge_settings_p.h"
+#include "entry_node/edge_log_p.h"
+#include "entry_node/edge_settings_p.h"
 
 #include <fcntl.h>
 #include <unistd.h>
--- a/tests/fixtures.h
+++ b/tests/fixtures.h
@@ -5,9 +5,9 @@
 /// What several fixtures use.
 #pragma once
 
-#include "clock_virtual_p.h"
-#include "http_p.h"
-#include "policy_p.h"
+#include "base/http_p.h"
+#include "larkrackd/policy_p.h"
+#include "testing/clock_virtual_p.h"
 
 #include <cppunit/TestAssert.h>
 #include <cppunit/TestFixture.h>
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -3,7 +3,7 @@
 
 #include "fixtures.h"
 
-#include "edge/fleet_p.h"
+#include "entry_node/fleet_p.h"
 
 namespace larkrack
 {
--- a/tests/forms/daemon_log_forms_test.cpp
+++ b/tests/forms/daemon_log_forms_test.cpp
@@ -7,7 +7,7 @@
 
 #include "daemon_node_forms.h"
 
-#include "log_p.h"
+#include "larkrackd/log_p.h"
 
 #include <easylogging++.h>
 
--- a/tests/forms/daemon_messages_forms_test.cpp
+++ b/tests/forms/daemon_messages_forms_test.cpp
@@ -6,7 +6,7 @@
 
 #include "daemon_forms.h"
 
-#include "message_p.h"
+#include "larkrackd/message_p.h"
 
 namespace larkrack
 {
--- a/tests/forms/daemon_node_forms.h
+++ b/tests/forms/daemon_node_forms.h
@@ -8,9 +8,9 @@
 
 #include "daemon_forms.h"
 
-#include "operators_p.h"
-#include "store_engine_p.h"
-#include "store_memory_p.h"
+#include "larkrackd/operators_p.h"
+#include "testing/store_engine_p.h"
+#include "testing/store_memory_p.h"
 
 #include <fstream>
 #include <sstream>
--- a/tests/forms/daemon_records_forms_test.cpp
+++ b/tests/forms/daemon_records_forms_test.cpp
@@ -6,11 +6,11 @@
 
 #include "daemon_forms.h"
 
-#include "ownership_p.h"
-#include "platform_sync_p.h"
-#include "shift_p.h"
-#include "store_engine_p.h"
-#include "store_memory_p.h"
+#include "larkrackd/ownership_p.h"
+#include "larkrackd/platform_sync_p.h"
+#include "larkrackd/shift_p.h"
+#include "testing/store_engine_p.h"
+#include "testing/store_memory_p.h"
 
 namespace larkrack
 {
--- a/tests/forms/daemon_settings_forms_test.cpp
+++ b/tests/forms/daemon_settings_forms_test.cpp
@@ -7,7 +7,7 @@
 
 #include "daemon_forms.h"
 
-#include "settings_p.h"
+#include "base/settings_p.h"
 
 namespace larkrack
 {
--- a/tests/forms/daemon_signatures_forms_test.cpp
+++ b/tests/forms/daemon_signatures_forms_test.cpp
@@ -4,12 +4,12 @@
 /// @file
 /// Signed texts of larkrackd: grants, the header of a relayed request, and the websocket handshake.
 
-#include "clock_virtual_p.h"
 #include "daemon_forms.h"
+#include "testing/clock_virtual_p.h"
 
-#include "carrier_p.h"
-#include "grant_p.h"
-#include "peers_p.h"
+#include "larkrackd/carrier_p.h"
+#include "larkrackd/grant_p.h"
+#include "larkrackd/peers_p.h"
 
 #include <openssl/evp.h>
 #include <openssl/hmac.h>
--- a/tests/forms/edge_settings_form_test.cpp
+++ b/tests/forms/edge_settings_form_test.cpp
@@ -7,7 +7,7 @@
 
 #include "fixtures.h"
 
-#include "edge/edge_settings_p.h"
+#include "entry_node/edge_settings_p.h"
 
 #include <fstream>
 
--- a/tests/forms/event_catalogue_form_test.cpp
+++ b/tests/forms/event_catalogue_form_test.cpp
@@ -6,7 +6,7 @@
 
 #include "fixtures.h"
 
-#include "events_p.h"
+#include "base/events_p.h"
 
 namespace larkrack
 {
--- a/tests/forms/heartbeat_form_test.cpp
+++ b/tests/forms/heartbeat_form_test.cpp
@@ -7,7 +7,7 @@
 #include "fixtures.h"
 #include "forms/golden.h"
 
-#include "edge/heartbeat_p.h"
+#include "entry_node/heartbeat_p.h"
 
 namespace larkrack
 {
--- a/tests/forms/store_changes_form_test.cpp
+++ b/tests/forms/store_changes_form_test.cpp
@@ -7,7 +7,7 @@
 #include "fixtures.h"
 #include "forms/golden.h"
 
-#include "edge/store_changes_codec_p.h"
+#include "entry_node/store_changes_codec_p.h"
 
 namespace larkrack
 {
--- a/tests/gate_test.cpp
+++ b/tests/gate_test.cpp
@@ -6,7 +6,7 @@
 
 #include "fixtures.h"
 
-#include "gate_p.h"
+#include "larkrackd/gate_p.h"
 
 #include <rapidcheck.h>
 
--- a/tests/hash_test.cpp
+++ b/tests/hash_test.cpp
@@ -6,8 +6,8 @@
 
 #include "fixtures.h"
 
-#include "hash_p.h"
-#include "lookup_p.h"
+#include "larkrackd/hash_p.h"
+#include "larkrackd/lookup_p.h"
 
 namespace larkrack
 {
--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -6,8 +6,8 @@
 
 #include "fixtures.h"
 
-#include "http_p.h"
-#include "tracer_p.h"
+#include "base/http_p.h"
+#include "larkrackd/tracer_p.h"
 
 namespace larkrack
 {
--- a/tests/key_table_test.cpp
+++ b/tests/key_table_test.cpp
@@ -6,8 +6,8 @@
 
 #include "fixtures.h"
 
-#include "grant_p.h"
-#include "key_table_p.h"
+#include "larkrackd/grant_p.h"
+#include "larkrackd/key_table_p.h"
 
 #include <rapidcheck.h>
 
--- a/tests/main.cpp
+++ b/tests/main.cpp
@@ -4,7 +4,7 @@
 /// @file
 /// Runs all fixtures, or those whose names contain one of the arguments; that none does is a failure.
 
-#include "log_p.h"
+#include "larkrackd/log_p.h"
 
 #include <cppunit/CompilerOutputter.h>
 #include <cppunit/Test.h>
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -6,8 +6,8 @@
 
 #include "fixtures.h"
 
-#include "membership_p.h"
-#include "message_p.h"
+#include "larkrackd/membership_p.h"
+#include "larkrackd/message_p.h"
 
 namespace larkrack
 {
--- a/tests/mix_test.cpp
+++ b/tests/mix_test.cpp
@@ -6,8 +6,8 @@
 
 #include "fixtures.h"
 
-#include "mix_p.h"
-#include "shift_p.h"
+#include "larkrackd/mix_p.h"
+#include "larkrackd/shift_p.h"
 
 #include <rapidcheck.h>
 
--- a/tests/ownership_test.cpp
+++ b/tests/ownership_test.cpp
@@ -6,7 +6,7 @@
 
 #include "fixtures.h"
 
-#include "ownership_p.h"
+#include "larkrackd/ownership_p.h"
 
 #include <rapidcheck.h>
 
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -6,9 +6,9 @@
 
 #include "fixtures.h"
 
-#include "config_replica_p.h"
-#include "log_p.h"
-#include "settings_p.h"
+#include "base/settings_p.h"
+#include "larkrackd/config_replica_p.h"
+#include "larkrackd/log_p.h"
 
 #include <rapidcheck.h>
 
--- a/tests/steering_backend_choice_test.cpp
+++ b/tests/steering_backend_choice_test.cpp
@@ -3,7 +3,7 @@
 
 #include "fixtures.h"
 
-#include "edge/backend_registry_p.h"
+#include "entry_node/backend_registry_p.h"
 #include "steering/backend_choice_p.h"
 
 #include <set>
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -6,9 +6,9 @@
 
 #include "fixtures.h"
 
-#include "fake_platform_p.h"
-#include "platform_sync_p.h"
-#include "store_memory_p.h"
+#include "larkrackd/platform_sync_p.h"
+#include "testing/fake_platform_p.h"
+#include "testing/store_memory_p.h"
 
 namespace larkrack
 {
--- a/tools/larkrack_check.cpp
+++ b/tools/larkrack_check.cpp
@@ -4,8 +4,8 @@
 /// @file
 /// Reads histories of callers, backend servers and nodes and judges each promise.
 
-#include "checker_p.h"
-#include "history_p.h"
+#include "testing/checker_p.h"
+#include "testing/history_p.h"
 
 #include <absl/flags/flag.h>
 #include <absl/flags/parse.h>
--- a/tools/larkrack_documents.cpp
+++ b/tools/larkrack_documents.cpp
@@ -5,7 +5,7 @@
 /// Commands about files of resources or settings: diff and check, and the reading of such files.
 #include "larkrack_p.h"
 
-#include "policy_p.h"
+#include "larkrackd/policy_p.h"
 
 #include <algorithm>
 #include <dirent.h>
--- a/tools/larkrack_fake_backend.cpp
+++ b/tools/larkrack_fake_backend.cpp
@@ -4,8 +4,8 @@
 /// @file
 /// Stand-in for backend servers: one process plays many. Faults are set at run time over HTTP.
 
-#include "fake_backend_p.h"
-#include "settings_p.h"
+#include "base/settings_p.h"
+#include "testing/fake_backend_p.h"
 
 #include <absl/flags/flag.h>
 #include <absl/flags/parse.h>
--- a/tools/larkrack_fake_platform.cpp
+++ b/tools/larkrack_fake_platform.cpp
@@ -5,7 +5,7 @@
 /// Stand-in for the platform: key-value service in the shape of the etcd v3 JSON gateway, and the lagging
 /// list of VMs. Faults are set at run time over HTTP.
 
-#include "fake_platform_p.h"
+#include "testing/fake_platform_p.h"
 
 #include <absl/flags/flag.h>
 #include <absl/flags/parse.h>
--- a/tools/larkrack_load_p.h
+++ b/tools/larkrack_load_p.h
@@ -7,11 +7,11 @@
 /// `scripts/places up` has started, and their pid files, logs and runs in one folder.
 #pragma once
 
-#include "callers_p.h"
-#include "checker_p.h"
-#include "deployment_p.h"
-#include "history_p.h"
-#include "http_p.h"
+#include "base/http_p.h"
+#include "testing/callers_p.h"
+#include "testing/checker_p.h"
+#include "testing/deployment_p.h"
+#include "testing/history_p.h"
 
 #include <functional>
 #include <string>
--- a/tools/larkrack_p.h
+++ b/tools/larkrack_p.h
@@ -8,7 +8,7 @@
 /// returns the exit code.
 #pragma once
 
-#include "http_p.h"
+#include "base/http_p.h"
 
 #include <absl/flags/declare.h>
 #include <absl/flags/flag.h>
--- a/tools/larkrackd.cpp
+++ b/tools/larkrackd.cpp
@@ -4,9 +4,9 @@
 /// @file
 /// The daemon of an entry VM: answers look-ups, carries requests, decides, serves operators.
 
-#include "node_p.h"
+#include "larkrackd/node_p.h"
 
-#include "log_p.h"
+#include "larkrackd/log_p.h"
 
 #include <absl/flags/flag.h>
 #include <absl/flags/parse.h>
