--- a/src/entry_node/edge_log.cpp
+++ b/src/entry_node/entry_log.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 the larkrack developers. All rights reserved.
 // License: BSD 2-Clause, see LICENSE.
 
-#include "entry_node/edge_log_p.h"
+#include "entry_node/entry_log_p.h"
 
 #include <algorithm>
 #include <chrono>
@@ -78,12 +78,12 @@
 	return *this;
 }
 
-edge_log::edge_log(std::string _node, int _descriptor, std::size_t _most_bytes)
+entry_log::entry_log(std::string _node, int _descriptor, std::size_t _most_bytes)
     : m_node(std::move(_node)), m_descriptor(_descriptor), m_most_bytes(_most_bytes)
 {
 }
 
-void edge_log::append(const log_line& _line)
+void entry_log::append(const log_line& _line)
 {
 	const auto now = std::chrono::system_clock::now().time_since_epoch();
 	m_pending += "{\"t_us\":";
@@ -98,7 +98,7 @@
 	m_pending += "}\n";
 }
 
-void edge_log::write(const log_line& _line)
+void entry_log::write(const log_line& _line)
 {
 	if (m_descriptor < 0)
 	{
@@ -112,7 +112,7 @@
 	append(_line);
 }
 
-void edge_log::flush()
+void entry_log::flush()
 {
 	if (m_dropped != m_dropped_told && m_pending.size() < m_most_bytes / 2)
 	{
@@ -140,7 +140,7 @@
 	m_pending.erase(0, done);
 }
 
-bool edge_log::sampled(std::string_view _request_id)
+bool entry_log::sampled(std::string_view _request_id)
 {
 	return 0 == XXH64(_request_id.data(), _request_id.size(), 0) % k_sample;
 }
--- a/src/entry_node/edge_log_p.h
+++ b/src/entry_node/entry_log_p.h
@@ -26,7 +26,7 @@
 	log_line& decimal(std::string_view _name, double _value);
 
 private:
-	friend class edge_log;
+	friend class entry_log;
 	void begin_field(std::string_view _name);
 
 	event m_event;
@@ -35,13 +35,13 @@
 
 /// Collects lines and hands them to a descriptor as fast as that takes them. What does not fit is dropped and
 /// counted.
-class edge_log
+class entry_log
 {
 public:
 	/// @param[in] _node Stands in each line.
 	/// @param[in] _descriptor Where lines go; negative: nowhere.
 	/// @param[in] _most_bytes Bytes that wait at most.
-	explicit edge_log(std::string _node, int _descriptor = 1, std::size_t _most_bytes = 64UL * 1024);
+	explicit entry_log(std::string _node, int _descriptor = 1, std::size_t _most_bytes = 64UL * 1024);
 
 	/// Adds a line.
 	void write(const log_line& _line);
--- a/src/entry_node/edge_node.cpp
+++ b/src/entry_node/entry_node.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 the larkrack developers. All rights reserved.
 // License: BSD 2-Clause, see LICENSE.
 
-#include "entry_node/edge_node_p.h"
+#include "entry_node/entry_node_p.h"
 
 #include "steering/planned_stop_p.h"
 
@@ -38,7 +38,7 @@
 	return _endpoint.host + ":" + std::to_string(_endpoint.port);
 }
 
-node_heartbeat self_of(const edge_settings& _settings)
+node_heartbeat self_of(const entry_settings& _settings)
 {
 	node_heartbeat self;
 	self.node = node_name(_settings.place.node);
@@ -52,15 +52,15 @@
 	return self;
 }
 
-std::size_t caller_connections(const edge_settings& _settings)
+std::size_t caller_connections(const entry_settings& _settings)
 {
 	const int free = std::max(k_least_descriptors, _settings.max_descriptors - k_reserved_descriptors);
 	return static_cast<std::size_t>(k_caller_descriptors * free);
 }
 } // namespace
 
-edge_node::edge_node(
-    const edge_settings& _settings, std::string _settings_path, const edge_dialect_base& _dialect)
+entry_node::entry_node(
+    const entry_settings& _settings, std::string _settings_path, const platform_dialect_base& _dialect)
     : m_settings(_settings), m_settings_path(std::move(_settings_path)), m_dialect(_dialect), m_context(1),
       m_log(_settings.place.node), m_backends(_settings.region_of),
       m_fleet(m_clock, self_of(_settings), m_backends, m_log),
@@ -121,9 +121,9 @@
 {
 }
 
-edge_node::~edge_node() = default;
+entry_node::~entry_node() = default;
 
-std::optional<error> edge_node::open()
+std::optional<error> entry_node::open()
 {
 	const auto listen = [](http_listener& _listener,
 	                        const std::optional<endpoint>& _where) -> std::optional<error>
@@ -162,7 +162,7 @@
 	return std::nullopt;
 }
 
-void edge_node::run()
+void entry_node::run()
 {
 	m_log.write(log_line(event::node_started)
 	                .text("region", m_settings.place.region)
@@ -178,7 +178,7 @@
 	m_log.flush();
 }
 
-void edge_node::add_seeds(const std::vector<std::string>& _seeds)
+void entry_node::add_seeds(const std::vector<std::string>& _seeds)
 {
 	for (const std::string& seed : _seeds)
 	{
@@ -186,7 +186,7 @@
 	}
 }
 
-void edge_node::watch_signals()
+void entry_node::watch_signals()
 {
 	m_signals.async_wait(
 	    [this](beast::error_code _error, int _signal)
@@ -207,7 +207,7 @@
 	    });
 }
 
-void edge_node::reload_settings()
+void entry_node::reload_settings()
 {
 	result<nlohmann::json> document = read_json_file(m_settings_path);
 	if (const error* failed = std::get_if<error>(&document))
@@ -215,13 +215,13 @@
 		m_log.write(log_line(event::settings_refused).text("why", failed->message));
 		return;
 	}
-	const auto parsed = parse_edge_settings(*value_of(document));
+	const auto parsed = parse_entry_settings(*value_of(document));
 	if (const auto* mistakes = std::get_if<std::vector<mistake>>(&parsed))
 	{
 		m_log.write(log_line(event::settings_refused).text("why", to_string(*mistakes)));
 		return;
 	}
-	const edge_settings& fresh = std::get<edge_settings>(parsed);
+	const entry_settings& fresh = std::get<entry_settings>(parsed);
 	add_seeds(fresh.seeds);
 	m_settings.lookup_ttl = fresh.lookup_ttl;
 	m_settings.grace = fresh.grace;
@@ -229,7 +229,7 @@
 	    log_line(event::settings_reloaded).number("seeds", static_cast<std::int64_t>(fresh.seeds.size())));
 }
 
-void edge_node::begin_stop()
+void entry_node::begin_stop()
 {
 	if (m_stopping)
 	{
@@ -246,7 +246,7 @@
 	stop_step();
 }
 
-void edge_node::stop_step()
+void entry_node::stop_step()
 {
 	const steady_time now = m_clock.steady();
 	const stop_decision decision =
@@ -281,7 +281,7 @@
 	    });
 }
 
-void edge_node::tick()
+void entry_node::tick()
 {
 	++m_ticks;
 	m_replica.tick();
--- a/src/entry_node/edge_node_answers.cpp
+++ b/src/entry_node/entry_node_answers.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 the larkrack developers. All rights reserved.
 // License: BSD 2-Clause, see LICENSE.
 
-#include "entry_node/edge_node_p.h"
+#include "entry_node/entry_node_p.h"
 
 #include "entry_node/store_changes_codec_p.h"
 
@@ -9,13 +9,14 @@
 
 namespace larkrack
 {
-void edge_node::answer_readiness(const std::shared_ptr<caller_session>& _session)
+void entry_node::answer_readiness(const std::shared_ptr<caller_session>& _session)
 {
 	const bool ready = node_state::ready == m_fleet.self().state;
 	_session->respond(caller_response(ready ? http::status::ok : http::status::service_unavailable, 11));
 }
 
-void edge_node::answer_lookup(const std::shared_ptr<caller_session>& _session, const caller_request& _request)
+void entry_node::answer_lookup(
+    const std::shared_ptr<caller_session>& _session, const caller_request& _request)
 {
 	const std::string target(_request.target());
 	const std::optional<lookup_question> question = m_dialect.parse_lookup(target);
@@ -40,7 +41,7 @@
 	_session->respond(std::move(response));
 }
 
-void edge_node::answer_peer(const std::shared_ptr<caller_session>& _session, const caller_request& _request)
+void entry_node::answer_peer(const std::shared_ptr<caller_session>& _session, const caller_request& _request)
 {
 	const std::string target(_request.target());
 	const std::string after = query_value(target, "after");
@@ -53,7 +54,7 @@
 	_session->respond(std::move(response));
 }
 
-std::string edge_node::metrics_text()
+std::string entry_node::metrics_text()
 {
 	const forwarder_counters& counters = m_forwarder.counters();
 	const auto gauge = [this](const char* _name, const char* _help, double _value)
@@ -85,7 +86,7 @@
 	return m_metrics.text();
 }
 
-void edge_node::answer_metrics(const std::shared_ptr<caller_session>& _session)
+void entry_node::answer_metrics(const std::shared_ptr<caller_session>& _session)
 {
 	caller_response response(http::status::ok, 11);
 	response.set(http::field::content_type, "text/plain; version=0.0.4");
--- a/src/entry_node/edge_node_p.h
+++ b/src/entry_node/entry_node_p.h
@@ -5,7 +5,7 @@
 /// One entry VM's process: puts the parts together, starts and stops them.
 #pragma once
 
-#include "entry_node/edge_settings_p.h"
+#include "entry_node/entry_settings_p.h"
 #include "entry_node/fleet_p.h"
 #include "entry_node/store_sync_p.h"
 
@@ -22,10 +22,10 @@
 };
 
 /// What a platform's callers, backend servers and store speak.
-class edge_dialect_base
+class platform_dialect_base
 {
 public:
-	virtual ~edge_dialect_base() = default;
+	virtual ~platform_dialect_base() = default;
 	virtual header_names headers() const = 0;
 	virtual const record_codec_base& codec() const = 0;
 	/// @returns The question in a look-up's target, or nothing when it is no look-up.
@@ -40,13 +40,14 @@
 
 /// All parts of a node, on one thread: an entry VM has a fraction of one core, and a second thread would only
 /// add memory and wake-ups (docs/DESIGN.md).
-class edge_node : private store_sharing_base
+class entry_node : private store_sharing_base
 {
 public:
-	edge_node(const edge_settings& _settings, std::string _settings_path, const edge_dialect_base& _dialect);
-	~edge_node() override;
-	edge_node(const edge_node&) = delete;
-	edge_node& operator=(const edge_node&) = delete;
+	entry_node(
+	    const entry_settings& _settings, std::string _settings_path, const platform_dialect_base& _dialect);
+	~entry_node() override;
+	entry_node(const entry_node&) = delete;
+	entry_node& operator=(const entry_node&) = delete;
 
 	/// Listens on all addresses.
 	/// @returns An error when one can not be had.
@@ -79,12 +80,12 @@
 	void answer_metrics(const std::shared_ptr<caller_session>& _session);
 	std::string metrics_text();
 
-	edge_settings m_settings;
+	entry_settings m_settings;
 	std::string m_settings_path;
-	const edge_dialect_base& m_dialect;
+	const platform_dialect_base& m_dialect;
 	asio::io_context m_context;
 	clock_system m_clock;
-	edge_log m_log;
+	entry_log m_log;
 	metrics m_metrics;
 	backend_registry m_backends;
 	fleet m_fleet;
--- a/src/entry_node/edge_node_peers.cpp
+++ b/src/entry_node/entry_node_peers.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 the larkrack developers. All rights reserved.
 // License: BSD 2-Clause, see LICENSE.
 
-#include "entry_node/edge_node_p.h"
+#include "entry_node/entry_node_p.h"
 
 #include "entry_node/store_changes_codec_p.h"
 
@@ -16,7 +16,7 @@
 constexpr std::chrono::milliseconds k_learn_timeout{1000};
 } // namespace
 
-void edge_node::receive_heartbeats()
+void entry_node::receive_heartbeats()
 {
 	m_heartbeats.async_receive_from(asio::buffer(m_heartbeat_buffer), m_heartbeat_sender,
 	    [this](beast::error_code _error, std::size_t _size)
@@ -33,7 +33,7 @@
 	    });
 }
 
-void edge_node::take_datagram(std::size_t _size)
+void entry_node::take_datagram(std::size_t _size)
 {
 	result<node_heartbeat> decoded = decode_heartbeat(m_heartbeat_buffer.data(), _size);
 	if (const node_heartbeat* one = value_of(decoded))
@@ -50,7 +50,7 @@
 	}
 }
 
-void edge_node::send_datagram(const std::vector<std::uint8_t>& _bytes, const std::string& _ip)
+void entry_node::send_datagram(const std::vector<std::uint8_t>& _bytes, const std::string& _ip)
 {
 	beast::error_code ignored;
 	const auto address = asio::ip::make_address(_ip, ignored);
@@ -60,17 +60,17 @@
 	}
 }
 
-std::optional<steady_time> edge_node::others_answered_at() const
+std::optional<steady_time> entry_node::others_answered_at() const
 {
 	return m_fleet.store_answered_at();
 }
 
-bool edge_node::is_reader() const
+bool entry_node::is_reader() const
 {
 	return m_fleet.reader().reads;
 }
 
-void edge_node::on_read(const store_changes& _changes)
+void entry_node::on_read(const store_changes& _changes)
 {
 	const std::vector<std::string> others = m_fleet.region_addresses();
 	if (all_read(others.size()))
@@ -92,7 +92,7 @@
 	}
 }
 
-void edge_node::send_heartbeats()
+void entry_node::send_heartbeats()
 {
 	node_heartbeat& self = m_fleet.self();
 	self.config_version = m_forwarder.routes() ? m_forwarder.routes()->version() : 0;
@@ -114,7 +114,7 @@
 	}
 }
 
-void edge_node::learn_from_peers()
+void entry_node::learn_from_peers()
 {
 	if (m_learning || nullptr == m_fleet.newer(m_replica.revision()) || !m_settings.peers)
 	{
@@ -139,7 +139,7 @@
 	    });
 }
 
-void edge_node::catch_up(const yield_context& _yield)
+void entry_node::catch_up(const yield_context& _yield)
 {
 	// A configuration may be large, and the links of nodes slow: it comes from the store, if that answers.
 	const std::uint64_t version = m_forwarder.routes() ? m_forwarder.routes()->version() : 0;
@@ -153,7 +153,7 @@
 	}
 }
 
-void edge_node::fetch_state(const std::string& _ip, const yield_context& _yield)
+void entry_node::fetch_state(const std::string& _ip, const yield_context& _yield)
 {
 	const endpoint where{_ip, m_settings.peers->port};
 	const std::string target = "/changes?after=" + std::to_string(m_replica.revision()) +
--- a/src/entry_node/edge_settings.cpp
+++ b/src/entry_node/entry_settings.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 the larkrack developers. All rights reserved.
 // License: BSD 2-Clause, see LICENSE.
 
-#include "entry_node/edge_settings_p.h"
+#include "entry_node/entry_settings_p.h"
 
 #include <algorithm>
 
@@ -148,7 +148,7 @@
 }
 } // namespace
 
-const nlohmann::json& schema_edge_settings()
+const nlohmann::json& schema_entry_settings()
 {
 	static const nlohmann::json s_schema = nlohmann::json::parse(k_schema);
 	return s_schema;
@@ -157,18 +157,18 @@
 std::vector<unknown_key> unknown_keys(const nlohmann::json& _document)
 {
 	std::vector<unknown_key> unknown;
-	collect_unknown(_document, schema_edge_settings(), "", unknown);
+	collect_unknown(_document, schema_entry_settings(), "", unknown);
 	return unknown;
 }
 
-std::variant<edge_settings, std::vector<mistake>> parse_edge_settings(const nlohmann::json& _document)
+std::variant<entry_settings, std::vector<mistake>> parse_entry_settings(const nlohmann::json& _document)
 {
-	std::vector<mistake> mistakes = check_schema(schema_edge_settings(), _document);
+	std::vector<mistake> mistakes = check_schema(schema_entry_settings(), _document);
 	if (!mistakes.empty())
 	{
 		return mistakes;
 	}
-	edge_settings settings;
+	entry_settings settings;
 	settings.place = {_document["name"], _document["domain"], _document["region"]};
 	settings.ip = _document["ip"];
 	check_ip(_document, mistakes);
--- a/src/entry_node/edge_settings_p.h
+++ b/src/entry_node/entry_settings_p.h
@@ -13,7 +13,7 @@
 namespace larkrack
 {
 /// Settings of one larkrack-edge; see the schema for their meaning.
-struct edge_settings
+struct entry_settings
 {
 	placement place;
 	std::string ip;
@@ -34,7 +34,7 @@
 
 /// Checks and reads settings.
 /// @returns Settings, or all mistakes.
-std::variant<edge_settings, std::vector<mistake>> parse_edge_settings(const nlohmann::json& _document);
+std::variant<entry_settings, std::vector<mistake>> parse_entry_settings(const nlohmann::json& _document);
 /// A key that the schema does not know.
 struct unknown_key
 {
@@ -44,5 +44,5 @@
 /// @returns Keys that are passed over because the schema does not know them.
 std::vector<unknown_key> unknown_keys(const nlohmann::json& _document);
 /// @returns Schema of the settings of larkrack-edge.
-const nlohmann::json& schema_edge_settings();
+const nlohmann::json& schema_entry_settings();
 } // namespace larkrack
--- a/src/entry_node/fleet.cpp
+++ b/src/entry_node/fleet.cpp
@@ -25,7 +25,7 @@
 }
 } // namespace
 
-fleet::fleet(const clock_base& _clock, node_heartbeat _self, backend_registry& _backends, edge_log& _log)
+fleet::fleet(const clock_base& _clock, node_heartbeat _self, backend_registry& _backends, entry_log& _log)
     : m_clock(_clock), m_self(std::move(_self)), m_backends(_backends), m_log(_log)
 {
 }
--- a/src/entry_node/fleet_p.h
+++ b/src/entry_node/fleet_p.h
@@ -6,7 +6,7 @@
 ///
 /// Owns the table of nodes and the addresses at which nodes may be. What follows from the table is decided in
 /// src/steering: node_liveness, lookup_answer, store_readers, shared_budgets, slot_portion. Relies on
-/// edge_node to hand in heartbeats and to send those of this node.
+/// entry_node to hand in heartbeats and to send those of this node.
 #pragma once
 
 #include "entry_node/forwarder_p.h"
@@ -27,7 +27,7 @@
 	/// @param[in] _self This node; its state and figures are set before each heartbeat.
 	/// @param[in] _backends Told what other nodes have in flight.
 	/// @param[in] _log Told of nodes that come and go.
-	fleet(const clock_base& _clock, node_heartbeat _self, backend_registry& _backends, edge_log& _log);
+	fleet(const clock_base& _clock, node_heartbeat _self, backend_registry& _backends, entry_log& _log);
 
 	/// Takes a heartbeat of another node.
 	void hear(const node_heartbeat& _heartbeat);
@@ -94,7 +94,7 @@
 	const clock_base& m_clock;
 	node_heartbeat m_self;
 	backend_registry& m_backends;
-	edge_log& m_log;
+	entry_log& m_log;
 	std::map<node_name, fleet_member> m_members;
 	std::set<std::string> m_addresses;
 	node_census m_census;
--- a/src/entry_node/forwarded_request.cpp
+++ b/src/entry_node/forwarded_request.cpp
@@ -362,7 +362,7 @@
 
 void forwarded_request::log_end(unsigned _status, outcome _outcome, reason _reason)
 {
-	if (outcome::served == _outcome && !edge_log::sampled(m_request_id))
+	if (outcome::served == _outcome && !entry_log::sampled(m_request_id))
 	{
 		return;
 	}
--- a/src/entry_node/forwarder_p.h
+++ b/src/entry_node/forwarder_p.h
@@ -6,10 +6,10 @@
 ///
 /// Owns the requests, the queues of those that wait, and the state of each service. It gives the decisions of
 /// src/steering their figures at each tick, and logs what they changed. Relies on backend_registry for the
-/// backend servers, on the fleet view for the other nodes, and on edge_node to call tick() and pump().
+/// backend servers, on the fleet view for the other nodes, and on entry_node to call tick() and pump().
 #pragma once
 
-#include "entry_node/edge_log_p.h"
+#include "entry_node/entry_log_p.h"
 #include "entry_node/upstream_p.h"
 #include "steering/fleet_view_p.h"
 #include "steering/service_split_p.h"
@@ -63,7 +63,7 @@
 	domain_name domain; ///< Of this node.
 	backend_registry& backends;
 	const fleet_view_base& fleet;
-	edge_log& log;
+	entry_log& log;
 	metrics& exported;
 	std::minstd_rand random;
 	std::shared_ptr<const routing_table> routes; ///< In force for new requests; null: none yet.
@@ -93,7 +93,7 @@
 public:
 	forwarder(asio::io_context& _context, const clock_base& _clock, header_names _names,
 	    const placement& _placement, shared_bounds _bounds, backend_registry& _backends,
-	    const fleet_view_base& _fleet, edge_log& _log, metrics& _metrics);
+	    const fleet_view_base& _fleet, entry_log& _log, metrics& _metrics);
 	~forwarder() override;
 
 	/// Takes a request of a caller.
--- a/src/entry_node/state_replica.cpp
+++ b/src/entry_node/state_replica.cpp
@@ -16,7 +16,7 @@
 } // namespace
 
 state_replica::state_replica(const clock_base& _clock, const record_codec_base& _codec,
-    backend_registry& _backends, edge_log& _log, routes_handler _on_routes, node_handler _on_node)
+    backend_registry& _backends, entry_log& _log, routes_handler _on_routes, node_handler _on_node)
     : m_clock(_clock), m_codec(_codec), m_backends(_backends), m_log(_log),
       m_on_routes(std::move(_on_routes)), m_on_node(std::move(_on_node))
 {
--- a/src/entry_node/state_replica_p.h
+++ b/src/entry_node/state_replica_p.h
@@ -5,12 +5,12 @@
 /// This node's copy of the platform's keys: configuration, registry of backend servers, evacuations, nodes.
 ///
 /// Owns the copy, the deletes that are remembered for other nodes, and the vanished entries. When these count
-/// as gone is decided in steering/entry_removal. Relies on store_sync and edge_node to hand in changes, and
-/// on edge_node to call tick().
+/// as gone is decided in steering/entry_removal. Relies on store_sync and entry_node to hand in changes, and
+/// on entry_node to call tick().
 #pragma once
 
 #include "entry_node/backend_registry_p.h"
-#include "entry_node/edge_log_p.h"
+#include "entry_node/entry_log_p.h"
 #include "steering/entry_removal_p.h"
 #include "steering/routing_table_p.h"
 
@@ -69,7 +69,7 @@
 	using node_handler = std::function<void(const std::string& _ip)>;
 
 	state_replica(const clock_base& _clock, const record_codec_base& _codec, backend_registry& _backends,
-	    edge_log& _log, routes_handler _on_routes, node_handler _on_node);
+	    entry_log& _log, routes_handler _on_routes, node_handler _on_node);
 
 	/// Takes all keys as they are at a revision.
 	void replace(const std::vector<store_value>& _values, std::int64_t _revision);
@@ -120,7 +120,7 @@
 	const clock_base& m_clock;
 	const record_codec_base& m_codec;
 	backend_registry& m_backends;
-	edge_log& m_log;
+	entry_log& m_log;
 	routes_handler m_on_routes;
 	node_handler m_on_node;
 	std::map<std::string, store_value> m_values;
--- a/src/entry_node/store_sync.cpp
+++ b/src/entry_node/store_sync.cpp
@@ -10,7 +10,7 @@
 namespace larkrack
 {
 store_sync::store_sync(asio::io_context& _context, const clock_base& _clock, store_base& _store,
-    state_replica& _replica, const record_codec_base& _codec, store_sharing_base& _sharing, edge_log& _log,
+    state_replica& _replica, const record_codec_base& _codec, store_sharing_base& _sharing, entry_log& _log,
     std::string _node, std::string _node_value)
     : m_context(_context), m_clock(_clock), m_store(_store), m_replica(_replica), m_codec(_codec),
       m_sharing(_sharing), m_log(_log), m_node(std::move(_node)), m_node_value(std::move(_node_value)),
--- a/src/entry_node/store_sync_p.h
+++ b/src/entry_node/store_sync_p.h
@@ -5,7 +5,7 @@
 /// Keeps the replica of the platform's keys up to date, and this node registered there.
 ///
 /// Owns the calls to the store and what is known of its health. Which nodes read is decided in
-/// steering/store_readers, the pauses in steering/store_pacing. Relies on edge_node for what other nodes
+/// steering/store_readers, the pauses in steering/store_pacing. Relies on entry_node for what other nodes
 /// tell.
 #pragma once
 
@@ -44,7 +44,7 @@
 	/// @param[in] _node_value What is registered for this node.
 	store_sync(asio::io_context& _context, const clock_base& _clock, store_base& _store,
 	    state_replica& _replica, const record_codec_base& _codec, store_sharing_base& _sharing,
-	    edge_log& _log, std::string _node, std::string _node_value);
+	    entry_log& _log, std::string _node, std::string _node_value);
 
 	/// Starts reading, watching and registering.
 	void begin();
@@ -80,7 +80,7 @@
 	state_replica& m_replica;
 	const record_codec_base& m_codec;
 	store_sharing_base& m_sharing;
-	edge_log& m_log;
+	entry_log& m_log;
 	std::string m_node;
 	std::string m_node_value;
 	store_health m_health;
--- a/tests/edge_fixture.h
+++ b/tests/entry_fixture.h
@@ -211,7 +211,7 @@
 };
 
 /// Fixture: one node with routes "/read/" (repeatable) and "/pay/" (at most once) to service "shop".
-class edge_fixture : public CppUnit::TestFixture
+class entry_fixture : public CppUnit::TestFixture
 {
 public:
 	void setUp() override
@@ -219,7 +219,7 @@
 		m_context = std::make_unique<asio::io_context>(1);
 		m_registry = std::make_unique<backend_registry>(
 		    std::unordered_map<std::string, std::string>{{"east-a", "east"}, {"west-a", "west"}});
-		m_log = std::make_unique<edge_log>("test", -1);
+		m_log = std::make_unique<entry_log>("test", -1);
 		shared_bounds bounds;
 		bounds.max_shift = 0.15;
 		bounds.retries = {
@@ -313,7 +313,7 @@
 	clock_system m_clock;
 	fleet_view_alone m_fleet;
 	std::unique_ptr<backend_registry> m_registry;
-	std::unique_ptr<edge_log> m_log;
+	std::unique_ptr<entry_log> m_log;
 	metrics m_metrics;
 	std::unique_ptr<forwarder> m_forwarder;
 	std::unique_ptr<http_listener> m_listener;
--- a/tests/edge_settings_test.cpp
+++ b/tests/entry_settings_test.cpp
@@ -3,17 +3,17 @@
 
 #include "fixtures.h"
 
-#include "entry_node/edge_log_p.h"
-#include "entry_node/edge_settings_p.h"
+#include "entry_node/entry_log_p.h"
+#include "entry_node/entry_settings_p.h"
 
 #include <fcntl.h>
 #include <unistd.h>
 
 namespace larkrack
 {
-class edge_settings_test : public CppUnit::TestFixture
+class entry_settings_test : public CppUnit::TestFixture
 {
-	CPPUNIT_TEST_SUITE(edge_settings_test);
+	CPPUNIT_TEST_SUITE(entry_settings_test);
 	CPPUNIT_TEST(settings_valid_are_read);
 	CPPUNIT_TEST(settings_empty_gap_names_the_field);
 	CPPUNIT_TEST(settings_all_mistakes_are_told_at_once);
@@ -34,8 +34,8 @@
 
 	void settings_valid_are_read()
 	{
-		const auto parsed = parse_edge_settings(valid());
-		const auto* settings = std::get_if<edge_settings>(&parsed);
+		const auto parsed = parse_entry_settings(valid());
+		const auto* settings = std::get_if<entry_settings>(&parsed);
 		CPPUNIT_ASSERT(nullptr != settings);
 		CPPUNIT_ASSERT(!settings->lookups);
 		CPPUNIT_ASSERT(settings->lookup_ttl == std::chrono::milliseconds(1000));
@@ -46,7 +46,7 @@
 	{
 		nlohmann::json document = valid();
 		document["listen"]["callers"] = "";
-		const auto parsed = parse_edge_settings(document);
+		const auto parsed = parse_entry_settings(document);
 		const auto* mistakes = std::get_if<std::vector<mistake>>(&parsed);
 		CPPUNIT_ASSERT(nullptr != mistakes && 1 == mistakes->size());
 		CPPUNIT_ASSERT_EQUAL(std::string("/listen/callers"), mistakes->front().path);
@@ -59,7 +59,7 @@
 		document["store"] = "1.2.3.4.5:90";
 		document["listen"]["callers"] = "10.0.0.1:99999";
 		document["listen"]["readiness"] = "10.0.0.300:80";
-		const auto parsed = parse_edge_settings(document);
+		const auto parsed = parse_entry_settings(document);
 		const auto* mistakes = std::get_if<std::vector<mistake>>(&parsed);
 		CPPUNIT_ASSERT(nullptr != mistakes);
 		CPPUNIT_ASSERT_EQUAL(
@@ -76,7 +76,7 @@
 		document["store"] = "nowhere";
 		document["bounds"]["retry_ratio"] = 3;
 		document["inner_ports"] = {1};
-		const auto parsed = parse_edge_settings(document);
+		const auto parsed = parse_entry_settings(document);
 		const auto* mistakes = std::get_if<std::vector<mistake>>(&parsed);
 		CPPUNIT_ASSERT(nullptr != mistakes && 3 <= mistakes->size());
 	}
@@ -97,7 +97,7 @@
 	{
 		int ends[2];
 		CPPUNIT_ASSERT_EQUAL(0, pipe(ends));
-		edge_log log("n1", ends[1], 16384);
+		entry_log log("n1", ends[1], 16384);
 		for (int i = 0; i < 5000; ++i)
 		{
 			log.write(log_line(event::request_ended).number("number", i));
@@ -121,5 +121,5 @@
 	}
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(edge_settings_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(entry_settings_test);
 } // namespace larkrack
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -261,7 +261,7 @@
 
 	clock_virtual m_clock;
 	std::unique_ptr<backend_registry> m_registry;
-	edge_log m_log{"test", -1};
+	entry_log m_log{"test", -1};
 };
 
 CPPUNIT_TEST_SUITE_REGISTRATION(fleet_test);
--- a/tests/forms/backend_request_form_test.cpp
+++ b/tests/forms/backend_request_form_test.cpp
@@ -4,7 +4,7 @@
 /// @file
 /// What larkrack-edge sends to backend servers and to callers, and the lines of its log about it.
 
-#include "edge_fixture.h"
+#include "entry_fixture.h"
 
 #include <unistd.h>
 
@@ -63,7 +63,7 @@
 	std::array<char, 4096> m_part{};
 };
 
-class backend_request_form_test : public edge_fixture
+class backend_request_form_test : public entry_fixture
 {
 	CPPUNIT_TEST_SUITE(backend_request_form_test);
 	CPPUNIT_TEST(request_with_body_has_the_known_bytes);
@@ -80,7 +80,7 @@
 	{
 		m_context->stop();
 		m_taker.reset();
-		edge_fixture::tearDown();
+		entry_fixture::tearDown();
 	}
 
 protected:
@@ -262,7 +262,7 @@
 	{
 		int pipe_ends[2];
 		CPPUNIT_ASSERT_EQUAL(0, ::pipe(pipe_ends));
-		*m_log = edge_log("n\"1\\\n", pipe_ends[1]);
+		*m_log = entry_log("n\"1\\\n", pipe_ends[1]);
 		set_routes(7);
 		add_backend("b1").script = {
 		    {"HTTP/1.1 503 X\r\nLarkrack-Request-Id: {id}\r\nLarkrack-Shed: 1\r\nContent-Length: 0\r\n\r\n"}};
--- a/tests/forms/edge_settings_form_test.cpp
+++ b/tests/forms/entry_settings_form_test.cpp
@@ -7,15 +7,15 @@
 
 #include "fixtures.h"
 
-#include "entry_node/edge_settings_p.h"
+#include "entry_node/entry_settings_p.h"
 
 #include <fstream>
 
 namespace larkrack
 {
-class edge_settings_form_test : public CppUnit::TestFixture
+class entry_settings_form_test : public CppUnit::TestFixture
 {
-	CPPUNIT_TEST_SUITE(edge_settings_form_test);
+	CPPUNIT_TEST_SUITE(entry_settings_form_test);
 	CPPUNIT_TEST(schema_holds_the_known_keys);
 	CPPUNIT_TEST(schema_passes_over_keys_that_it_does_not_know);
 	CPPUNIT_TEST(settings_full_are_read);
@@ -79,7 +79,7 @@
 		    {"/store", true, R"({"pattern":"^[0-9.]+:[0-9]+$","type":"string"})"},
 		};
 		std::map<std::string, std::string> rows;
-		collect(schema_edge_settings(), "", rows);
+		collect(schema_entry_settings(), "", rows);
 		for (const known_key& key : known)
 		{
 			const std::string expected = std::string(key.required ? "required " : "optional ") + key.rules;
@@ -90,21 +90,21 @@
 
 	void schema_passes_over_keys_that_it_does_not_know()
 	{
-		CPPUNIT_ASSERT_EQUAL(std::string("object"), schema_edge_settings().at("type").get<std::string>());
-		CPPUNIT_ASSERT(!schema_edge_settings().contains("additionalProperties"));
+		CPPUNIT_ASSERT_EQUAL(std::string("object"), schema_entry_settings().at("type").get<std::string>());
+		CPPUNIT_ASSERT(!schema_entry_settings().contains("additionalProperties"));
 	}
 
-	static edge_settings read(const char* _text)
+	static entry_settings read(const char* _text)
 	{
-		const auto parsed = parse_edge_settings(nlohmann::json::parse(_text));
-		const auto* settings = std::get_if<edge_settings>(&parsed);
+		const auto parsed = parse_entry_settings(nlohmann::json::parse(_text));
+		const auto* settings = std::get_if<entry_settings>(&parsed);
 		CPPUNIT_ASSERT(nullptr != settings);
 		return *settings;
 	}
 
 	void settings_full_are_read()
 	{
-		const edge_settings settings = read(R"({"name": "n1", "region": "east", "domain": "east-a",
+		const entry_settings settings = read(R"({"name": "n1", "region": "east", "domain": "east-a",
 			"ip": "10.0.0.1", "listen": {"callers": "10.0.0.1:80", "readiness": "10.0.0.1:81",
 			"lookups": "10.0.0.1:82", "peers": "10.0.0.1:83", "metrics": "10.0.0.1:84"},
 			"inner_ports": [7000, 7010], "store": "10.0.0.9:90", "seeds": ["10.0.0.2:83"],
@@ -133,7 +133,7 @@
 
 	void settings_with_the_least_get_the_known_defaults()
 	{
-		const edge_settings settings = read(R"({"name": "n1", "region": "east", "domain": "east-a",
+		const entry_settings settings = read(R"({"name": "n1", "region": "east", "domain": "east-a",
 			"ip": "10.0.0.1", "listen": {"callers": "10.0.0.1:80"}, "inner_ports": [7000, 7010],
 			"store": "10.0.0.9:90", "regions": {}, "bounds": {"retry_ratio": 0, "retry_slack": 0,
 			"retry_window_s": 1, "max_shift": 0, "lookup_ttl_max_s": 5, "grace_s": 1}})");
@@ -179,5 +179,5 @@
 	}
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(edge_settings_form_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(entry_settings_form_test);
 } // namespace larkrack
--- a/tests/forms/store_kv_form_test.cpp
+++ b/tests/forms/store_kv_form_test.cpp
@@ -4,7 +4,7 @@
 /// @file
 /// Calls of the platform's store as larkrack-edge sends them and reads their answers, byte by byte.
 
-#include "edge_fixture.h"
+#include "entry_fixture.h"
 
 #include "store_kv_p.h"
 
--- a/tests/forwarder_test.cpp
+++ b/tests/forwarder_test.cpp
@@ -1,11 +1,11 @@
 // Copyright 2026 the larkrack developers. All rights reserved.
 // License: BSD 2-Clause, see LICENSE.
 
-#include "edge_fixture.h"
+#include "entry_fixture.h"
 
 namespace larkrack
 {
-class forwarder_test : public edge_fixture
+class forwarder_test : public entry_fixture
 {
 	CPPUNIT_TEST_SUITE(forwarder_test);
 	CPPUNIT_TEST(request_plain_arrives_unchanged_and_its_answer_goes_back);
--- a/tests/state_replica_test.cpp
+++ b/tests/state_replica_test.cpp
@@ -373,7 +373,7 @@
 
 	clock_virtual m_clock;
 	plain_codec m_codec;
-	edge_log m_log{"test", -1};
+	entry_log m_log{"test", -1};
 	std::vector<std::uint64_t> m_versions;
 	std::unique_ptr<backend_registry> m_registry;
 	std::unique_ptr<state_replica> m_replica;
