--- a/src/entry_node/entry_node.cpp
+++ b/src/entry_node/entry_node.cpp
@@ -248,9 +248,11 @@
 
 void entry_node::stop_step()
 {
-	const steady_time now = m_clock.steady();
-	const stop_decision decision =
-	    plan_stop({now - m_stopping_since, m_settings.grace, m_callers.busy(), now - m_last_busy});
+	const steady_time::duration passed = m_clock.steady() - m_stopping_since;
+	const std::size_t busy = m_callers.busy();
+	const steady_time::duration since_request =
+	    0 == busy ? m_clock.steady() - m_last_busy : steady_time::duration{};
+	const stop_decision decision = plan_stop({passed, m_settings.grace, busy, since_request});
 	if (decision.close_idle)
 	{
 		m_callers.close_idle();
--- a/src/entry_node/fleet.cpp
+++ b/src/entry_node/fleet.cpp
@@ -42,7 +42,8 @@
 		return;
 	}
 	fleet_member& member = m_members[_heartbeat.node];
-	if (node_liveness::outdated(_heartbeat, member.last, alive(member)))
+	// Whether the sender is live is asked only where it matters: that reads the clock.
+	if (node_liveness::outdated(_heartbeat, member.last, true) && alive(member))
 	{
 		return;
 	}
@@ -105,7 +106,7 @@
 	std::vector<const node_heartbeat*> ready;
 	for (const auto& [name, member] : m_members)
 	{
-		if (node_state::ready == member.last.state && alive(member))
+		if (node_state::ready == member.last.state)
 		{
 			ready.push_back(&member.last);
 		}
@@ -114,7 +115,11 @@
 	{
 		ready.push_back(&m_self);
 	}
-	return plan_lookup(_region, _homes, ready, m_self.callers);
+	const auto is_live = [this](const node_heartbeat& _node)
+	{
+		return _node.node == m_self.node || alive(m_members.at(_node.node));
+	};
+	return plan_lookup(_region, _homes, ready, is_live, m_self.callers);
 }
 
 reader_decision fleet::reader() const
@@ -135,7 +140,7 @@
 	std::vector<const node_heartbeat*> live;
 	for (const auto& [name, member] : m_members)
 	{
-		if (member.last.store_revision > _store_revision && alive(member))
+		if (alive(member) && member.last.store_revision > _store_revision)
 		{
 			live.push_back(&member.last);
 		}
@@ -200,10 +205,10 @@
 	{
 		fleet_member& member = it->second;
 		const bool now_alive = alive(member);
-		const steady_time::duration silence = m_clock.steady() - member.heard_at;
 		if (now_alive != member.logged_alive)
 		{
 			member.logged_alive = now_alive;
+			const steady_time::duration silence = m_clock.steady() - member.heard_at;
 			m_log.write(log_line(now_alive ? event::peer_up : event::peer_suspected)
 			                .text("peer", it->first.text)
 			                .number("incarnation", static_cast<std::int64_t>(member.last.incarnation))
@@ -215,7 +220,8 @@
 			// What it has in flight now is not known; the reports of backend servers are all there is.
 			m_backends.set_in_flight_of_node(it->first, {});
 		}
-		it = node_liveness::forgotten(silence) ? m_members.erase(it) : std::next(it);
+		it = node_liveness::forgotten(m_clock.steady() - member.heard_at) ? m_members.erase(it)
+		                                                                  : std::next(it);
 	}
 }
 
--- a/src/entry_node/forwarded_request.cpp
+++ b/src/entry_node/forwarded_request.cpp
@@ -161,9 +161,9 @@
 		}
 		if (region != m_planned.region)
 		{
-			const departure left = steering.overflow.may_leave(
-			    m_planned.region, homes, steering.demand.requests_per_s(), m_context.clock.steady());
-			if (departure::denied == left)
+			if (!leaves_freely(m_planned.region, homes) &&
+			    departure::denied == steering.overflow.may_leave(m_planned.region, homes,
+			                             steering.demand.requests_per_s(), m_context.clock.steady()))
 			{
 				return false;
 			}
@@ -283,13 +283,17 @@
 
 bool forwarded_request::pay_for_resend()
 {
-	const steady_time now = m_context.clock.steady();
-	const resend decision = may_resend(m_history, m_route->max_attempts, now, m_deadline);
+	if (attempts_spent(m_history, m_route->max_attempts))
+	{
+		return false;
+	}
+	const resend decision =
+	    may_resend(m_history, m_route->max_attempts, m_context.clock.steady(), m_deadline);
 	if (resend::within_budget != decision)
 	{
 		return resend::free == decision;
 	}
-	if (!m_owner.service_of(m_service).steering.retries.spend(now))
+	if (!m_owner.service_of(m_service).steering.retries.spend(m_context.clock.steady()))
 	{
 		++m_context.counters.retries_denied;
 		return false;
@@ -350,14 +354,13 @@
 
 void forwarded_request::log_failed_attempt(const backend_server& _backend, const char* _why)
 {
-	const steady_time now = m_context.clock.steady();
 	m_context.log.write(log_line(event::attempt_failed)
 	                        .text("id", m_request_id)
 	                        .text("service", m_service.text)
 	                        .text("backend", _backend.registered.id.text)
 	                        .text("why", _why)
-	                        .decimal("busy", _backend.estimated_load(now))
-	                        .number("ms", to_ms(now - m_sent_at).count()));
+	                        .decimal("busy", _backend.estimated_load(m_context.clock.steady()))
+	                        .number("ms", to_ms(m_context.clock.steady() - m_sent_at).count()));
 }
 
 void forwarded_request::log_end(unsigned _status, outcome _outcome, reason _reason)
--- a/src/entry_node/state_replica_p.h
+++ b/src/entry_node/state_replica_p.h
@@ -95,12 +95,18 @@
 	/// Says that the store does not answer: until it does, entries may lapse although their owners live.
 	void store_lost()
 	{
-		m_removal.on_store_lost(m_clock.steady());
+		if (!m_removal.in_outage())
+		{
+			m_removal.on_store_lost(m_clock.steady());
+		}
 	}
 	/// Says that the store answers again: owners that live write their lapsed entries again.
 	void store_regained()
 	{
-		m_removal.on_store_regained(m_clock.steady());
+		if (m_removal.in_outage())
+		{
+			m_removal.on_store_regained(m_clock.steady());
+		}
 	}
 
 	std::int64_t revision() const
--- a/src/steering/attempt_rules.cpp
+++ b/src/steering/attempt_rules.cpp
@@ -51,9 +51,14 @@
 	return resend_price::free_when_unsent == _rule.price && _history.unsent < k_unsent_limit;
 }
 
+bool attempts_spent(const attempt_history& _history, int _max_attempts)
+{
+	return _history.reached >= _max_attempts;
+}
+
 resend may_resend(const attempt_history& _history, int _max_attempts, steady_time _now, steady_time _deadline)
 {
-	if (_history.reached >= _max_attempts)
+	if (attempts_spent(_history, _max_attempts))
 	{
 		return resend::attempts_spent;
 	}
--- a/src/steering/attempt_rules_p.h
+++ b/src/steering/attempt_rules_p.h
@@ -107,6 +107,8 @@
 /// @returns Whether an attempt without cost may follow at once.
 bool may_resend_free(const attempt_rule& _rule, const attempt_history& _history);
 /// @param[in] _max_attempts Attempts that the route permits.
+bool attempts_spent(const attempt_history& _history, int _max_attempts);
+/// @param[in] _max_attempts Attempts that the route permits.
 resend may_resend(
     const attempt_history& _history, int _max_attempts, steady_time _now, steady_time _deadline);
 
--- a/src/steering/entry_removal.cpp
+++ b/src/steering/entry_removal.cpp
@@ -28,7 +28,7 @@
 
 void entry_removal::on_store_lost(steady_time _now)
 {
-	if (m_lost_at && !m_lapses_until)
+	if (in_outage())
 	{
 		return;
 	}
@@ -38,7 +38,7 @@
 
 void entry_removal::on_store_regained(steady_time _now)
 {
-	if (!m_lost_at || m_lapses_until)
+	if (!in_outage())
 	{
 		return;
 	}
--- a/src/steering/entry_removal_p.h
+++ b/src/steering/entry_removal_p.h
@@ -48,6 +48,11 @@
 class entry_removal
 {
 public:
+	/// @returns Whether the store is away, as far as was told.
+	bool in_outage() const
+	{
+		return m_lost_at && !m_lapses_until;
+	}
 	/// Takes that a call to the store failed.
 	void on_store_lost(steady_time _now);
 	/// Takes that the store answers.
--- a/src/steering/lookup_answer_p.h
+++ b/src/steering/lookup_answer_p.h
@@ -20,6 +20,8 @@
 
 #include "steering/node_heartbeat_p.h"
 
+#include <functional>
+
 namespace larkrack
 {
 /// Where the named nodes are.
@@ -38,10 +40,13 @@
 	std::vector<std::string> addresses; ///< "IP:port"; never empty.
 };
 
+/// Tells whether a node is live. Asked only of nodes that may be named, since each answer reads the clock.
+using live_test = std::function<bool(const node_heartbeat&)>;
+
 /// @param[in] _region Of the caller; empty: it does not say.
 /// @param[in] _homes Home regions of the host.
-/// @param[in] _ready Nodes that are ready and live, in the order in which they are to be named.
+/// @param[in] _ready Nodes that said that they are ready, in the order in which they are to be named.
 /// @param[in] _own Address of this node.
 lookup_decision plan_lookup(const region_name& _region, const std::vector<region_name>& _homes,
-    const std::vector<const node_heartbeat*>& _ready, const std::string& _own);
+    const std::vector<const node_heartbeat*>& _ready, const live_test& _is_live, const std::string& _own);
 } // namespace larkrack
--- a/src/steering/region_choice.cpp
+++ b/src/steering/region_choice.cpp
@@ -67,10 +67,15 @@
 	return regions;
 }
 
+bool leaves_freely(const region_name& _planned, const std::vector<std::string>& _home_regions)
+{
+	return _planned.empty() || !allowed(_planned, _home_regions);
+}
+
 departure overflow_bucket::may_leave(const region_name& _planned,
     const std::vector<std::string>& _home_regions, double _requests_per_s, steady_time _now)
 {
-	if (_planned.empty() || !allowed(_planned, _home_regions))
+	if (leaves_freely(_planned, _home_regions))
 	{
 		return departure::no_choice;
 	}
--- a/src/steering/region_choice_p.h
+++ b/src/steering/region_choice_p.h
@@ -78,6 +78,10 @@
 std::vector<region_name> regions_to_try(const region_name& _planned, const share_by_region& _shares,
     const std::vector<std::string>& _home_regions);
 
+/// @returns Whether a request has no choice but to leave its planned region, which is none, or no home
+/// region.
+bool leaves_freely(const region_name& _planned, const std::vector<std::string>& _home_regions);
+
 /// Whether a request may leave its planned region, and why.
 enum class departure
 {
--- a/src/steering/service_steering.cpp
+++ b/src/steering/service_steering.cpp
@@ -14,7 +14,7 @@
 {
 }
 
-std::optional<share_change> service_steering::update(
+std::optional<share_change> service_steering::update_by_demand(
     const std::vector<backend_state*>& _backends, rate_by_region _per_s_elsewhere, steady_time _now)
 {
 	rate_by_region& per_s = _per_s_elsewhere;
@@ -22,7 +22,6 @@
 	figures_by_region figures = figures_of(m_home, _backends, per_s, demand.service_time_s(), _now);
 	shares.by_demand.follow(plan_by_demand(m_home, figures, m_last_capacity), _now);
 	m_last_capacity = capacity_of(figures, m_home);
-	shares.by_slots.follow(plan_by_slots(_backends, _now), _now);
 	const double home_share = shares.by_demand.share_of(m_home);
 	if (std::abs(home_share - m_logged_home_share) < k_logged_share_change)
 	{
@@ -32,6 +31,11 @@
 	return share_change{home_share, std::move(figures)};
 }
 
+void service_steering::update_by_slots(const std::vector<backend_state*>& _backends, steady_time _now)
+{
+	shares.by_slots.follow(plan_by_slots(_backends, _now), _now);
+}
+
 slot_portion service_steering::own_portion(const region_name& _region) const
 {
 	const auto portion = m_own_portions.find(_region);
--- a/src/steering/service_steering_p.h
+++ b/src/steering/service_steering_p.h
@@ -47,11 +47,13 @@
 public:
 	service_steering(region_name _home, const shared_bounds& _bounds);
 
-	/// Plans the shares anew, and moves those in force towards the plan.
+	/// Plans the shares of requests without a key anew, and moves those in force towards the plan.
 	/// @param[in] _per_s_elsewhere Requests a second that other nodes took, by their region.
 	/// @returns The change since the last line of the log, if it is worth one.
-	std::optional<share_change> update(
+	std::optional<share_change> update_by_demand(
 	    const std::vector<backend_state*>& _backends, rate_by_region _per_s_elsewhere, steady_time _now);
+	/// The same for the shares of keys.
+	void update_by_slots(const std::vector<backend_state*>& _backends, steady_time _now);
 	/// @returns This node's part of the slots in a region; all of them as long as nothing is known.
 	slot_portion own_portion(const region_name& _region) const;
 	void set_own_portion(const region_name& _region, const slot_portion& _portion)
--- a/tests/forms/programs.py
+++ b/tests/forms/programs.py
@@ -3,7 +3,7 @@
 # License: BSD 2-Clause, see LICENSE.
 """Forms of larkrack-edge that show only from outside: command line, log lines, metrics, calls to the store.
 
-usage: tests/forms/programs.py [PROGRAM]     (build/bin/larkrack-edge)
+usage: tests/forms/programs.py [FOLDER]     (build/bin)
 
 Runs the program on loopback beside the stand-ins of the soak and compares with the texts in this file.
 """
@@ -367,5 +367,5 @@
 
 if __name__ == "__main__":
     if len(sys.argv) > 1 and not sys.argv[1].startswith("-"):
-        PROGRAM = os.path.abspath(sys.argv.pop(1))
+        PROGRAM = os.path.join(os.path.abspath(sys.argv.pop(1)), "larkrack-edge")
     unittest.main()
--- a/tests/steering_nodes_test.cpp
+++ b/tests/steering_nodes_test.cpp
@@ -61,7 +61,13 @@
 protected:
 	lookup_decision ask(const std::string& _region, const std::vector<region_name>& _homes = {})
 	{
-		return plan_lookup(region_name(_region), _homes, all_but(), "self:80");
+		return plan_lookup(
+		    region_name(_region), _homes, all_but(),
+		    [](const node_heartbeat&)
+		    {
+			    return true;
+		    },
+		    "self:80");
 	}
 
 	void own_region_with_ready_nodes_names_all_of_them_and_no_others()
--- a/tests/steering_service_test.cpp
+++ b/tests/steering_service_test.cpp
@@ -219,18 +219,18 @@
 		shared_bounds bounds;
 		bounds.max_shift = 0.15;
 		service_steering steering(m_east, bounds);
-		CPPUNIT_ASSERT(!steering.update(m_backends, {}, m_now));
+		CPPUNIT_ASSERT(!steering.update_by_demand(m_backends, {}, m_now));
 		for (int i = 0; i < 5; ++i)
 		{
 			eject(i);
 		}
 		m_now += std::chrono::milliseconds(100);
-		const auto change = steering.update(m_backends, {}, m_now);
+		const auto change = steering.update_by_demand(m_backends, {}, m_now);
 		CPPUNIT_ASSERT(change);
 		CPPUNIT_ASSERT_DOUBLES_EQUAL(0.0, change->home_share, 1e-9);
 		CPPUNIT_ASSERT_DOUBLES_EQUAL(42.5, capacity_of(change->figures, m_west), 1e-9);
 		m_now += std::chrono::milliseconds(100);
-		CPPUNIT_ASSERT(!steering.update(m_backends, {}, m_now));
+		CPPUNIT_ASSERT(!steering.update_by_demand(m_backends, {}, m_now));
 	}
 };
 
