--- a/src/steering/backend_choice_p.h
+++ b/src/steering/backend_choice_p.h
@@ -21,7 +21,7 @@
 /// - slow start: a cold one gets requests of its own region's nodes only, within a token bucket at this
 ///   node's part of what it bears (shared_budgets_p.h).
 ///
-/// Other ways (docs/EDGE.md):
+/// Other ways (docs/DESIGN.md):
 /// - reports of backend servers alone, without own parts of the slots: worth of scale-2 of ondaraiz-portal
 ///   0.147 against 0.309;
 /// - a key on two or three backend servers 0.55, on one unless its share needs more 0.72;
@@ -45,13 +45,13 @@
 constexpr double k_warmup_burst = 1.0;
 /// Backend servers of each key, besides those that its part of the requests needs. More spread a burst of one
 /// key, fewer keep it where it is known: two or three 0.55, one 0.72 worth of scale-2 of ondaraiz-portal
-/// (docs/EDGE.md, "Direct sending").
+/// (docs/DESIGN.md, "Direct sending").
 constexpr double k_key_servers = 1.0;
 /// Backend servers of a key for each one that its requests would fill if all were alike, no unit. 0: frequent
-/// keys queue; more: they run cold. Measured by the trials of docs/EDGE.md, "Keys" ("share counted once").
+/// keys queue; more: they run cold. Measured by the trials of docs/DESIGN.md, "Keys" ("share counted once").
 constexpr double k_key_servers_by_share = 1.0;
 /// Part of its slots up to which a backend server takes keys that are not its own, no unit. Larger starts
-/// sooner, smaller keeps what is remembered. No foreign keys at all: 0.85 of the score (docs/EDGE.md,
+/// sooner, smaller keeps what is remembered. No foreign keys at all: 0.85 of the score (docs/DESIGN.md,
 /// "Keys"); the value itself is not measured.
 constexpr double k_idle_part = 0.2;
 /// Ranks by which a backend server in another failure domain than the preferred one falls behind. Any value
@@ -59,7 +59,7 @@
 constexpr double k_domain_penalty = 2.0;
 /// Requests that the first backend server of a key may hold, as a multiple of its slots: to wait a moment for
 /// one that knows the key is faster than to start at once where nobody knows it. Worth of quiet-1 of
-/// verhaegen-pod 0.717 with 1.0, 0.747 with 1.7 (docs/EDGE.md, "Keys"; commit 6f50c51).
+/// verhaegen-pod 0.717 with 1.0, 0.747 with 1.7 (docs/DESIGN.md, "Keys"; commit 6f50c51).
 constexpr double k_own_depth = 1.7;
 
 /// Tells which nodes send to cold backend servers.
--- a/src/steering/outlier_ejection_p.h
+++ b/src/steering/outlier_ejection_p.h
@@ -13,7 +13,7 @@
 ///
 /// Why not another way:
 /// - active health checks: each takes a slot, and answers, refusals and lost connections tell more
-///   (docs/EDGE.md, "Known limits"); not measured;
+///   (docs/DESIGN.md, "Known limits"); not measured;
 /// - ejection by the share of failed answers: not measured. A backend server that fails a part of its
 ///   requests is met by retries alone.
 ///
--- a/src/steering/region_choice_p.h
+++ b/src/steering/region_choice_p.h
@@ -16,7 +16,7 @@
 /// without a bound, a jump of demand moved 46 of 100 requests within 2 s (commit 45cbb18). Where the home
 /// regions of the route leave no choice, the bucket does not count.
 ///
-/// Other ways, by worth of quiet-1 of verhaegen-pod (docs/EDGE.md, "Keys"):
+/// Other ways, by worth of quiet-1 of verhaegen-pod (docs/DESIGN.md, "Keys"):
 /// - shares by demand for keys as well: 0.657; shares by slots 0.717 with otherwise the same code;
 /// - keys by slots, bound by counts of requests: 0.752 with a slack of 5, 0.775 with 12, 0.779 without.
 ///
--- a/src/steering/region_plan_p.h
+++ b/src/steering/region_plan_p.h
@@ -14,7 +14,7 @@
 /// granted the same part of its own. Requests with a key: in proportion to the slots of the regions alone,
 /// the same for all nodes, so that a key has one place and no jump of demand moves it.
 ///
-/// Other ways, by worth of quiet-1 of verhaegen-pod (docs/EDGE.md, "Keys"; commit 6f50c51):
+/// Other ways, by worth of quiet-1 of verhaegen-pod (docs/DESIGN.md, "Keys"; commit 6f50c51):
 /// - shares by demand for keys as well: 0.657; the change to shares by slots with its 1.7 times the slots at
 /// a
 ///   key's first backend server: 0.779.
--- a/src/steering/region_shares_p.h
+++ b/src/steering/region_shares_p.h
@@ -23,7 +23,7 @@
 /// - moving any key whenever a request strays from the shares: score 0.893 and 0.694 against 0.911 and 0.745
 ///   of ondaraiz-portal and verhaegen-pod with moved borders (commit 9f01c82);
 /// - for keys, credits that move the borders: 0.747 against 0.779 worth of quiet-1 of verhaegen-pod
-///   (docs/EDGE.md, "Keys").
+///   (docs/DESIGN.md, "Keys").
 ///
 /// Relies on the caller to tell where a request ran in the end (move_credit).
 #pragma once
--- a/src/steering/slot_portion_p.h
+++ b/src/steering/slot_portion_p.h
@@ -12,7 +12,7 @@
 /// rounded at a place that differs from one backend server to the next (by the hash of its id), so the
 /// nodes take turns. A node that sends nothing there has no part; when nobody sends anything, each has all.
 ///
-/// Why not another way (docs/EDGE.md, "Direct sending"):
+/// Why not another way (docs/DESIGN.md, "Direct sending"):
 /// - estimated load alone: when it is too high by old news, free slots stay unused. Own slots and the
 ///   estimate together came with commit 1cc0cac (ondaraiz-portal 0.578 to 0.893); a change of the counting
 ///   alone had 0.603 there;
--- a/src/steering/store_pacing_p.h
+++ b/src/steering/store_pacing_p.h
@@ -12,7 +12,7 @@
 /// store says that the lease has lapsed, it registers anew. A reader collects changes for k_batch_pause, so
 /// that many cost one call.
 ///
-/// Why not another way (docs/EDGE.md, "State"):
+/// Why not another way (docs/DESIGN.md, "State"):
 /// - a call for each change: prices 0.181 and worth 0.701 on quiet-1 of ondaraiz-portal-grown; collected,
 ///   with three readers in place of four: 0.155 and 0.726 (commit 4952940);
 /// - leases of 10 s, renewed every 3.5 s: more calls (commit 4952940; not measured alone).
--- a/src/steering/store_readers.cpp
+++ b/src/steering/store_readers.cpp
@@ -13,7 +13,7 @@
 {
 /// Nodes of a region that read the store. More: more calls, each of which has a price. Fewer: trouble of some
 /// leaves the others without news. Four to three with commit 4952940, together with collected changes: prices
-/// 0.181 to 0.155 on quiet-1 of ondaraiz-portal-grown (docs/EDGE.md, "State").
+/// 0.181 to 0.155 on quiet-1 of ondaraiz-portal-grown (docs/DESIGN.md, "State").
 constexpr std::size_t k_region_readers = 3;
 /// Milliseconds that a node waits for datagrams before it asks another one. Longer: a lost datagram is made
 /// up for later. Shorter: nodes ask for what is on its way. Not measured.
--- a/src/steering/store_readers_p.h
+++ b/src/steering/store_readers_p.h
@@ -13,7 +13,7 @@
 /// that may be on their way, then asks a node that has it: one of its region if there is any, chosen by a
 /// hash that changes with each heartbeat, so that a few are not asked by all.
 ///
-/// Why not another way (docs/EDGE.md, "State"):
+/// Why not another way (docs/DESIGN.md, "State"):
 /// - every node reads: 0.36 of a day's worth for calls on quiet-1 of verhaegen-pod-grown (80 nodes), score
 ///   0.19; four of a region: 0.057 and 0.88 (commit 77d415c);
 /// - four of a region with a call for each change: prices 0.181 and worth 0.701 on quiet-1 of
