--- a/src/larkrackd/platform_keys.cpp
+++ b/src/larkrackd/platform_keys.cpp
@@ -3,6 +3,8 @@
 
 #include "larkrackd/platform_keys_p.h"
 
+#include "base/schema_p.h"
+
 #include <cstring>
 
 namespace larkrack
@@ -15,12 +17,6 @@
 }
 } // namespace
 
-nlohmann::json object_from_text(const std::string& _text)
-{
-	nlohmann::json document = nlohmann::json::parse(_text, nullptr, false);
-	return document.is_object() ? document : nlohmann::json::object();
-}
-
 std::string to_text(const config_head& _head)
 {
 	return nlohmann::json({{"revision", _head.rev.value}, {"base", _head.base.value}, {"by", _head.by}})
--- a/src/larkrackd/platform_keys_p.h
+++ b/src/larkrackd/platform_keys_p.h
@@ -30,9 +30,6 @@
 	std::string by; ///< Id of the write.
 };
 
-/// @returns The JSON object in a text; an empty one when there is none, for other versions may write other
-/// texts.
-nlohmann::json object_from_text(const std::string& _text);
 std::string to_text(const config_head& _head);
 /// @returns The head; revision 0 when the text is not a head.
 config_head head_from_text(const std::string& _text);
--- a/src/steering/planned_stop_p.h
+++ b/src/steering/planned_stop_p.h
@@ -52,7 +52,7 @@
 	steady_time::duration passed{};        ///< Since the stop was asked for.
 	std::chrono::milliseconds grace{0};    ///< From then to the kill.
 	std::size_t busy_connections = 0;      ///< Connections of callers with an open request.
-	steady_time::duration since_request{}; ///< Since the last request came, or the stop began.
+	steady_time::duration since_request{}; ///< Since the last request came, or the stop began; 0 while busy.
 };
 
 stop_decision plan_stop(const stop_progress& _progress);
--- a/tests/forms/platform_keys_form_test.cpp
+++ b/tests/forms/platform_keys_form_test.cpp
@@ -195,9 +195,9 @@
 		const backend_record record = backend_of(R"({"Address": "10.0.1.1:8080",
 			"Info": {"Service": "shop", "Zone": "east-a", "Slots": 4, "Id": "x"},
 			"Status": {"State": "ready", "WarmupLeftMs": 1500.5}})");
-		CPPUNIT_ASSERT_EQUAL(std::string("b1"), record.id);
-		CPPUNIT_ASSERT_EQUAL(std::string("shop"), record.service);
-		CPPUNIT_ASSERT_EQUAL(std::string("east-a"), record.domain);
+		CPPUNIT_ASSERT_EQUAL(std::string("b1"), record.id.text);
+		CPPUNIT_ASSERT_EQUAL(std::string("shop"), record.service.text);
+		CPPUNIT_ASSERT_EQUAL(std::string("east-a"), record.domain.text);
 		CPPUNIT_ASSERT_EQUAL(std::string("10.0.1.1"), record.address.address().to_string());
 		CPPUNIT_ASSERT_EQUAL(std::uint16_t{8080}, record.address.port());
 		CPPUNIT_ASSERT_EQUAL(4, record.slots);
@@ -209,7 +209,7 @@
 	{
 		const backend_record record =
 		    backend_of(R"({"Address": "10.0.1.1:8080", "Info": {"Service": "shop"}})");
-		CPPUNIT_ASSERT_EQUAL(std::string(), record.domain);
+		CPPUNIT_ASSERT_EQUAL(std::string(), record.domain.text);
 		CPPUNIT_ASSERT_EQUAL(1, record.slots);
 		CPPUNIT_ASSERT(!record.draining);
 		CPPUNIT_ASSERT_EQUAL(std::chrono::milliseconds::rep{0}, record.warmup_left.count());
--- a/tests/steering_nodes_test.cpp
+++ b/tests/steering_nodes_test.cpp
@@ -9,6 +9,8 @@
 #include "steering/slot_portion_p.h"
 #include "steering/store_readers_p.h"
 
+#include <set>
+
 namespace larkrack
 {
 /// Nodes as their heartbeats tell, in the order of their names.
@@ -56,6 +58,7 @@
 	CPPUNIT_TEST(none_ready_names_this_node);
 	CPPUNIT_TEST(caller_without_a_region_is_told_all);
 	CPPUNIT_TEST(large_region_names_64_nodes);
+	CPPUNIT_TEST(dead_nodes_are_never_named);
 	CPPUNIT_TEST_SUITE_END();
 
 protected:
@@ -63,9 +66,9 @@
 	{
 		return plan_lookup(
 		    region_name(_region), _homes, all_but(),
-		    [](const node_heartbeat&)
+		    [this](const node_heartbeat& _node)
 		    {
-			    return true;
+			    return 0 == m_dead.count(_node.node.text);
 		    },
 		    "self:80");
 	}
@@ -119,6 +122,18 @@
 		}
 		CPPUNIT_ASSERT_EQUAL(std::size_t(64), ask("east").addresses.size());
 	}
+
+	void dead_nodes_are_never_named()
+	{
+		add("n1");
+		add("n2", "west");
+		m_dead = {"n1"};
+		CPPUNIT_ASSERT(std::vector<std::string>{"n2:80"} == ask("east").addresses);
+		m_dead = {"n1", "n2"};
+		CPPUNIT_ASSERT(std::vector<std::string>{"self:80"} == ask("east").addresses);
+	}
+
+	std::set<std::string> m_dead;
 };
 
 class node_liveness_test : public steering_nodes_fixture
--- a/tests/steering_region_choice_test.cpp
+++ b/tests/steering_region_choice_test.cpp
@@ -127,6 +127,8 @@
 
 	void departure_planned_region_is_no_home_costs_nothing()
 	{
+		CPPUNIT_ASSERT(leaves_freely(m_east, {"west"}) && leaves_freely(region_name(), {}));
+		CPPUNIT_ASSERT(!leaves_freely(m_east, {}) && !leaves_freely(m_east, {"west", "east"}));
 		overflow_bucket bucket;
 		for (int i = 0; i < 10; ++i)
 		{
