--- a/tests/forms/daemon_forms.h
+++ b/tests/forms/daemon_forms.h
@@ -17,7 +17,7 @@
 {
 /// @returns Bytes as hexadecimal digits.
 template <typename Bytes>
-std::string to_hex(const Bytes& _bytes)
+std::string bytes_to_hex(const Bytes& _bytes)
 {
 	static const char* const s_digits = "0123456789abcdef";
 	std::string hex;
@@ -30,7 +30,7 @@
 }
 
 /// @returns Bytes of hexadecimal digits.
-inline std::string from_hex(const std::string& _hex)
+inline std::string bytes_from_hex(const std::string& _hex)
 {
 	std::string bytes;
 	for (std::size_t at = 0; at + 1 < _hex.size(); at += 2)
--- a/tests/forms/daemon_messages_forms_test.cpp
+++ b/tests/forms/daemon_messages_forms_test.cpp
@@ -59,7 +59,7 @@
 template <typename Body>
 Body decoded(const char* _hex)
 {
-	result<envelope> read = decode(from_hex(_hex));
+	result<envelope> read = decode(bytes_from_hex(_hex));
 	const envelope* whole = value_of(read);
 	CPPUNIT_ASSERT(nullptr != whole);
 	CPPUNIT_ASSERT_EQUAL(std::string("east-1"), whole->from);
@@ -86,7 +86,7 @@
 public:
 	void heartbeat_encoded_has_its_bytes()
 	{
-		same_form(k_heartbeat, to_hex(encode({"east-1", message_heartbeat{{full_entry()}}})));
+		same_form(k_heartbeat, bytes_to_hex(encode({"east-1", message_heartbeat{{full_entry()}}})));
 	}
 
 	void heartbeat_bytes_decoded_fill_every_field()
@@ -112,7 +112,8 @@
 
 	void heartbeat_when_sender_leaves_has_its_flags()
 	{
-		same_form(k_heartbeat_leaving, to_hex(encode({"east-1", message_heartbeat{{leaving_entry()}}})));
+		same_form(
+		    k_heartbeat_leaving, bytes_to_hex(encode({"east-1", message_heartbeat{{leaving_entry()}}})));
 	}
 
 	void heartbeat_bytes_of_leaving_sender_decoded_tell_it()
@@ -123,7 +124,7 @@
 
 	void get_config_encoded_and_decoded_keeps_its_bytes()
 	{
-		same_form(k_get_config, to_hex(encode({"east-1", message_get_config{{513}}})));
+		same_form(k_get_config, bytes_to_hex(encode({"east-1", message_get_config{{513}}})));
 		CPPUNIT_ASSERT_EQUAL(std::uint64_t{513}, decoded<message_get_config>(k_get_config).have.value);
 	}
 
@@ -134,7 +135,7 @@
 		body.rev = {7};
 		body.changed["region/east"] = {R"({"max_share":0.9})", {7}, "east-1-42"};
 		body.removed = {"site/east-b"};
-		same_form(k_config, to_hex(encode({"east-1", body})));
+		same_form(k_config, bytes_to_hex(encode({"east-1", body})));
 	}
 
 	void config_bytes_decoded_fill_every_field()
@@ -153,13 +154,14 @@
 	void get_records_encoded_and_decoded_keeps_its_bytes()
 	{
 		const std::map<std::string, std::uint64_t> have = {{"owner/east-a/shop", 3}, {"step/shop", 300}};
-		same_form(k_get_records, to_hex(encode({"east-1", message_get_records{have}})));
+		same_form(k_get_records, bytes_to_hex(encode({"east-1", message_get_records{have}})));
 		CPPUNIT_ASSERT(have == decoded<message_get_records>(k_get_records).have);
 	}
 
 	void records_encoded_and_decoded_keep_their_bytes()
 	{
-		same_form(k_records, to_hex(encode({"east-1", message_records{{{"step/shop", R"({"seq":9})", 9}}}})));
+		same_form(
+		    k_records, bytes_to_hex(encode({"east-1", message_records{{{"step/shop", R"({"seq":9})", 9}}}})));
 		const auto body = decoded<message_records>(k_records);
 		CPPUNIT_ASSERT_EQUAL(std::size_t{1}, body.records.size());
 		CPPUNIT_ASSERT_EQUAL(std::string("step/shop"), body.records.front().key);
--- a/tests/forms/daemon_signatures_forms_test.cpp
+++ b/tests/forms/daemon_signatures_forms_test.cpp
@@ -35,7 +35,7 @@
 	unsigned int size = 0;
 	HMAC(EVP_sha256(), k_secret, 19, reinterpret_cast<const unsigned char*>(_text.data()), _text.size(),
 	    digest, &size);
-	return to_hex(std::string(reinterpret_cast<const char*>(digest), 16));
+	return bytes_to_hex(std::string(reinterpret_cast<const char*>(digest), 16));
 }
 
 grant full_grant()
