--- a/src/larkrackd/carrier.cpp
+++ b/src/larkrackd/carrier.cpp
@@ -37,7 +37,7 @@
 /// @returns The caller's address: by the connection, or by the header when that is trusted.
 asio::ip::address caller_of(const http_session& _session, const http_request& _request, bool _trust_header)
 {
-	const asio::ip::address peer = _session.peer().address();
+	asio::ip::address peer = _session.peer().address();
 	const std::string named = header_of(_request, k_header_caller);
 	if (named.empty() || !_trust_header)
 	{
--- a/src/larkrackd/prefix_table.cpp
+++ b/src/larkrackd/prefix_table.cpp
@@ -226,11 +226,4 @@
 	const auto it = std::upper_bound(first, last, number);
 	return m_v4_site[static_cast<std::size_t>(it - m_v4_first.begin()) - 1];
 }
-
-std::size_t prefix_table::bytes() const
-{
-	return m_v4_first.capacity() * sizeof(std::uint32_t) + m_v4_site.capacity() * sizeof(site_handle) +
-	       m_v4_index.capacity() * sizeof(std::uint32_t) + m_v6_first.capacity() * sizeof(wide_address) +
-	       m_v6_site.capacity() * sizeof(site_handle);
-}
 } // namespace larkrack
--- a/src/larkrackd/prefix_table_p.h
+++ b/src/larkrackd/prefix_table_p.h
@@ -69,8 +69,6 @@
 	{
 		return m_blocks;
 	}
-	/// @returns Bytes of its arrays.
-	std::size_t bytes() const;
 
 private:
 	void build_v4(std::vector<client_block>& _blocks);
--- a/tests/forms/programs.py
+++ b/tests/forms/programs.py
@@ -31,8 +31,10 @@
 CALLERS, READINESS, LOOKUPS, PEERS, METRICS = 18080, 18081, 18082, 18083, 18084
 WAIT_S = 15.0  # Longest wait for a log line; nothing is measured.
 
-USAGE = ("usage: larkrack-edge [--check] [SETTINGS.json]   (or its path in LARKRACK_CONFIG)\n"
-         "  --check   tells all mistakes in the settings and ends\n")
+USAGE = (
+    "usage: larkrack-edge [--check] [SETTINGS.json]   (or its path in LARKRACK_CONFIG)\n"
+    "  --check   tells all mistakes in the settings and ends\n"
+)
 
 # Keys behind t_us, node, event and name, in order.
 LOG_LINES = {
@@ -82,26 +84,73 @@
     "larkrack_request_seconds_bucket": {("le",)},
     "larkrack_store_calls": {("use",)},
 }
-BUCKETS = ["0.0005", "0.001", "0.002", "0.005", "0.01", "0.02", "0.05", "0.1", "0.2", "0.5", "1", "2", "5", "10",
-           "+Inf"]
+BUCKETS = [
+    "0.0005",
+    "0.001",
+    "0.002",
+    "0.005",
+    "0.01",
+    "0.02",
+    "0.05",
+    "0.1",
+    "0.2",
+    "0.5",
+    "1",
+    "2",
+    "5",
+    "10",
+    "+Inf",
+]
 
 
 def settings(number=0):
     ip = NODES[number]
-    return {"name": "n%d" % (number + 1), "region": "east", "domain": "east-a", "ip": ip,
-            "listen": {"callers": "%s:%d" % (ip, CALLERS), "readiness": "%s:%d" % (ip, READINESS),
-                       "lookups": "%s:%d" % (ip, LOOKUPS), "peers": "%s:%d" % (ip, PEERS),
-                       "metrics": "%s:%d" % (ip, METRICS)},
-            "inner_ports": [18090, 18099], "store": "%s:%d" % STORE, "seeds": ["%s:%d" % (one, PEERS) for one in NODES],
-            "regions": {"east-a": "east"}, "max_descriptors": 1000,
-            "bounds": {"retry_ratio": 0.2, "retry_slack": 50, "retry_window_s": 10, "max_shift": 0.15,
-                       "lookup_ttl_max_s": 1, "grace_s": 6}}
+    return {
+        "name": "n%d" % (number + 1),
+        "region": "east",
+        "domain": "east-a",
+        "ip": ip,
+        "listen": {
+            "callers": "%s:%d" % (ip, CALLERS),
+            "readiness": "%s:%d" % (ip, READINESS),
+            "lookups": "%s:%d" % (ip, LOOKUPS),
+            "peers": "%s:%d" % (ip, PEERS),
+            "metrics": "%s:%d" % (ip, METRICS),
+        },
+        "inner_ports": [18090, 18099],
+        "store": "%s:%d" % STORE,
+        "seeds": ["%s:%d" % (one, PEERS) for one in NODES],
+        "regions": {"east-a": "east"},
+        "max_descriptors": 1000,
+        "bounds": {
+            "retry_ratio": 0.2,
+            "retry_slack": 50,
+            "retry_window_s": 10,
+            "max_shift": 0.15,
+            "lookup_ttl_max_s": 1,
+            "grace_s": 6,
+        },
+    }
 
 
 def configuration(version):
-    return json.dumps({"Version": version, "Services": [{"Name": "shop"}],
-                       "Routes": [{"Name": "pay", "Host": "shop.example", "PathPrefix": "/pay/", "Service": "shop",
-                                   "MaxAttempts": 2, "TimeoutMs": 2000, "ObjectiveMs": 400}]})
+    return json.dumps(
+        {
+            "Version": version,
+            "Services": [{"Name": "shop"}],
+            "Routes": [
+                {
+                    "Name": "pay",
+                    "Host": "shop.example",
+                    "PathPrefix": "/pay/",
+                    "Service": "shop",
+                    "MaxAttempts": 2,
+                    "TimeoutMs": 2000,
+                    "ObjectiveMs": 400,
+                }
+            ],
+        }
+    )
 
 
 class CommandLine(unittest.TestCase):
@@ -118,8 +167,15 @@
 
     def check(self, arguments, code, out, err, environment=None):
         clean = {name: value for name, value in os.environ.items() if "LARKRACK_CONFIG" != name}
-        done = subprocess.run([PROGRAM] + arguments, cwd=self.folder.name, capture_output=True, text=True,
-                              env={**clean, **(environment or {})}, timeout=WAIT_S, check=False)
+        done = subprocess.run(
+            [PROGRAM] + arguments,
+            cwd=self.folder.name,
+            capture_output=True,
+            text=True,
+            env={**clean, **(environment or {})},
+            timeout=WAIT_S,
+            check=False,
+        )
         self.assertEqual((code, out, err), (done.returncode, done.stdout, done.stderr), arguments)
 
     def test_wrong_usage_prints_usage_and_ends_with_2(self):
@@ -129,9 +185,13 @@
     def test_file_unreadable_ends_with_2(self):
         self.check(["missing.json"], 2, "", "larkrack-edge: missing.json: can not be read\n")
         self.write("broken.json", "{")
-        self.check(["--check", "broken.json"], 2, "",
-                   "larkrack-edge: broken.json: [json.exception.parse_error.101] parse error at line 1, column 2: "
-                   "syntax error while parsing object key - unexpected end of input; expected string literal\n")
+        self.check(
+            ["--check", "broken.json"],
+            2,
+            "",
+            "larkrack-edge: broken.json: [json.exception.parse_error.101] parse error at line 1, column 2: "
+            "syntax error while parsing object key - unexpected end of input; expected string literal\n",
+        )
 
     def test_settings_valid_checked_end_with_0(self):
         self.write("ok.json", settings())
@@ -145,10 +205,14 @@
         document.update({"seed": [], "zzzzzzzzzzzz": 1})
         document["listen"]["caller"] = "x"
         self.write("unknown.json", document)
-        self.check(["--check", "unknown.json"], 0, "unknown.json: valid\n",
-                   "larkrack-edge: /listen/caller is not known and is passed over; did you mean callers?\n"
-                   "larkrack-edge: /seed is not known and is passed over; did you mean seeds?\n"
-                   "larkrack-edge: /zzzzzzzzzzzz is not known and is passed over\n")
+        self.check(
+            ["--check", "unknown.json"],
+            0,
+            "unknown.json: valid\n",
+            "larkrack-edge: /listen/caller is not known and is passed over; did you mean callers?\n"
+            "larkrack-edge: /seed is not known and is passed over; did you mean seeds?\n"
+            "larkrack-edge: /zzzzzzzzzzzz is not known and is passed over\n",
+        )
 
     def test_settings_invalid_all_mistakes_are_told(self):
         document = settings()
@@ -157,22 +221,27 @@
         document["listen"]["callers"] = ""
         del document["region"]
         self.write("bad.json", document)
-        self.check(["bad.json"], 2, "",
-                   "larkrack-edge: bad.json:\n"
-                   "/bounds/retry_ratio: 3: Expected number less than or equal to 1.000000\n"
-                   "/inner_ports: [1]: Array should contain no fewer than 2 elements.\n"
-                   "/listen/callers: \"\": Failed to match regex specified by 'pattern' constraint.\n"
-                   "/name: \"\": String should be no fewer than 1 characters in length.\n"
-                   "/store: \"nowhere\": Failed to match regex specified by 'pattern' constraint.\n"
-                   "/: {\"bounds\":{\"grace_s\":6,\"lookup_ttl_max_s\":1,\"max_shift\":0.15...: "
-                   "Missing required property 'region'.\n")
+        self.check(
+            ["bad.json"],
+            2,
+            "",
+            "larkrack-edge: bad.json:\n"
+            "/bounds/retry_ratio: 3: Expected number less than or equal to 1.000000\n"
+            "/inner_ports: [1]: Array should contain no fewer than 2 elements.\n"
+            "/listen/callers: \"\": Failed to match regex specified by 'pattern' constraint.\n"
+            '/name: "": String should be no fewer than 1 characters in length.\n'
+            "/store: \"nowhere\": Failed to match regex specified by 'pattern' constraint.\n"
+            '/: {"bounds":{"grace_s":6,"lookup_ttl_max_s":1,"max_shift":0.15...: '
+            "Missing required property 'region'.\n",
+        )
 
     def test_address_not_to_be_had_ends_with_1(self):
         document = settings()
         document["listen"]["callers"] = "192.0.2.1:18080"
         self.write("away.json", document)
-        self.check(["away.json"], 1, "",
-                   "larkrack-edge: can not listen on 192.0.2.1:18080: Cannot assign requested address\n")
+        self.check(
+            ["away.json"], 1, "", "larkrack-edge: can not listen on 192.0.2.1:18080: Cannot assign requested address\n"
+        )
 
 
 class RecordedStore(kv_store.KvStore):
@@ -217,7 +286,8 @@
         """Waits for the first line of an event."""
         async with self.arrived:
             await asyncio.wait_for(
-                self.arrived.wait_for(lambda: any(line["name"] == name for line in self.lines)), WAIT_S)
+                self.arrived.wait_for(lambda: any(line["name"] == name for line in self.lines)), WAIT_S
+            )
 
     async def stop(self):
         if self.process.returncode is None:
@@ -249,8 +319,13 @@
         writer.close()
 
     async def pay(self, number):
-        return await call((NODES[0], CALLERS), "POST", "/pay/1",
-                          {"Host": "shop.example", "Request-Id": "r%d" % number, "Timeout-Ms": "1500"}, b"x")
+        return await call(
+            (NODES[0], CALLERS),
+            "POST",
+            "/pay/1",
+            {"Host": "shop.example", "Request-Id": "r%d" % number, "Timeout-Ms": "1500"},
+            b"x",
+        )
 
     async def play(self, folder):
         store = RecordedStore()
@@ -258,8 +333,10 @@
         self.served = 0
         backend_server = await asyncio.start_server(self.serve_backend, *BACKEND)
         await store.put("op/config", configuration("v7"))
-        await store.put("servers/b1", json.dumps({"Address": "%s:%d" % BACKEND,
-                                                  "Info": {"Service": "shop", "Zone": "east-a", "Slots": 2}}))
+        await store.put(
+            "servers/b1",
+            json.dumps({"Address": "%s:%d" % BACKEND, "Info": {"Service": "shop", "Zone": "east-a", "Slots": 2}}),
+        )
         one, two = Node(folder, 0), Node(folder, 1)
         try:
             await one.start()
@@ -310,8 +387,13 @@
             self.check_metrics(metrics)
         with self.subTest("lookup"):
             self.assertEqual("application/json", lookup.headers["content-type"])
-            self.assertIn(lookup.body, (b'{"Addresses":["127.91.1.1:18080","127.91.1.2:18080"],"TtlS":1.0}',
-                                        b'{"Addresses":["127.91.1.2:18080","127.91.1.1:18080"],"TtlS":1.0}'))
+            self.assertIn(
+                lookup.body,
+                (
+                    b'{"Addresses":["127.91.1.1:18080","127.91.1.2:18080"],"TtlS":1.0}',
+                    b'{"Addresses":["127.91.1.2:18080","127.91.1.1:18080"],"TtlS":1.0}',
+                ),
+            )
         with self.subTest("readiness"):
             self.assertEqual((200, b""), (ready.status, ready.body))
         with self.subTest("peers"):
@@ -332,8 +414,10 @@
         self.assertEqual(["t_us", "node", "event", "name"], list(node.lines[-1]))
 
     def check_store(self, store):
-        self.assertEqual({"GET /kv-range", "GET /kv-watch", "POST /kv-lease", "POST /kv-txn"},
-                         set(store.calls) - {"GET /kv-key", "POST /kv-keep/"})
+        self.assertEqual(
+            {"GET /kv-range", "GET /kv-watch", "POST /kv-lease", "POST /kv-txn"},
+            set(store.calls) - {"GET /kv-key", "POST /kv-keep/"},
+        )
         self.assertEqual("/kv-range?PathPrefix=", store.calls["GET /kv-range"].target)
         self.assertRegex(store.calls["GET /kv-watch"].target, r"^/kv-watch\?PathPrefix=&after=\d+&WaitMs=2500$")
         self.assertEqual(b'{"ttl_ms":30000}', store.calls["POST /kv-lease"].body)
@@ -350,10 +434,10 @@
         helps, types, labels, buckets = {}, [], {}, []
         for line in answer.body.decode().splitlines():
             if line.startswith("# HELP "):
-                name, text = line[len("# HELP "):].split(" ", 1)
+                name, text = line[len("# HELP ") :].split(" ", 1)
                 helps[name] = text
             elif line.startswith("# TYPE "):
-                name, kind = line[len("# TYPE "):].split(" ")
+                name, kind = line[len("# TYPE ") :].split(" ")
                 types.append("%s %s %s\n" % (name, kind, helps[name]))
             elif "{" in line:
                 name, rest = line.split("{", 1)
--- a/tests/forms/programs_daemon.py
+++ b/tests/forms/programs_daemon.py
@@ -23,51 +23,148 @@
 
 HERE = pathlib.Path(__file__).resolve().parent
 STATUS = {
-    "node": "east-1", "revision": 7, "degraded": ["platform_down"],
-    "entry_vms": [{"name": "east-1", "domain": "east-a", "state": "alive", "revision": 7, "lags": False},
-                  {"name": "west-1", "domain": "west-a", "state": "suspected", "revision": 6, "lags": True}],
+    "node": "east-1",
+    "revision": 7,
+    "degraded": ["platform_down"],
+    "entry_vms": [
+        {"name": "east-1", "domain": "east-a", "state": "alive", "revision": 7, "lags": False},
+        {"name": "west-1", "domain": "west-a", "state": "suspected", "revision": 6, "lags": True},
+    ],
     "rooms": [{"region": "east", "domain": "east-a", "service": "shop", "slots": 3, "usable": 2, "running": 1}],
-    "shifts": [{"service": "shop", "state": "waiting", "waits_for": "headroom", "shares": {"east": 0.4, "west": 0.6},
-                "goal": {"east": 0.25, "west": 0.75}, "in_force": {"east": 0.41, "west": 0.59}}]}
+    "shifts": [
+        {
+            "service": "shop",
+            "state": "waiting",
+            "waits_for": "headroom",
+            "shares": {"east": 0.4, "west": 0.6},
+            "goal": {"east": 0.25, "west": 0.75},
+            "in_force": {"east": 0.41, "west": 0.59},
+        }
+    ],
+}
 EXPLAIN = {
-    "steps": [{"rule": "client_block", "result": "east-a"}, {"rule": "home_region", "result": "east"},
-              {"rule": "mix", "parts": {"east": 0.4, "west": 0.6}, "point": 0.125, "result": "east"}],
-    "entry_vms": [{"entry_vm": "east-1", "domain": "east-a", "weight": 0.5, "running": 1, "usable": 2}]}
+    "steps": [
+        {"rule": "client_block", "result": "east-a"},
+        {"rule": "home_region", "result": "east"},
+        {"rule": "mix", "parts": {"east": 0.4, "west": 0.6}, "point": 0.125, "result": "east"},
+    ],
+    "entry_vms": [{"entry_vm": "east-1", "domain": "east-a", "weight": 0.5, "running": 1, "usable": 2}],
+}
 STEERING = {"kind": "steering", "name": "shop", "revision": 5, "spec": {"shares": {"east": 1.0}, "cap": 0.1}}
-ITEMS = {"revision": 7, "items": [{"kind": "region", "name": "east", "revision": 3, "spec": {"max_share": 0.9}},
-                                  {"kind": "region", "name": "west", "revision": 4, "spec": {}}]}
+ITEMS = {
+    "revision": 7,
+    "items": [
+        {"kind": "region", "name": "east", "revision": 3, "spec": {"max_share": 0.9}},
+        {"kind": "region", "name": "west", "revision": 4, "spec": {}},
+    ],
+}
 ACCEPTED = (200, {"revision": 8})
-CONFLICT = (409, {"error": "conflict", "message": "changed by somebody else; read it again", "resource": "region/east",
-                  "resource_revision": 6, "revision": 7})
-INVALID = (422, {"error": "invalid", "message": "nothing was changed", "revision": 7,
-                 "mistakes": [{"path": "/region/east/spec/max_share", "value": "9", "allowed": "at most 1"}]})
+CONFLICT = (
+    409,
+    {
+        "error": "conflict",
+        "message": "changed by somebody else; read it again",
+        "resource": "region/east",
+        "resource_revision": 6,
+        "revision": 7,
+    },
+)
+INVALID = (
+    422,
+    {
+        "error": "invalid",
+        "message": "nothing was changed",
+        "revision": 7,
+        "mistakes": [{"path": "/region/east/spec/max_share", "value": "9", "allowed": "at most 1"}],
+    },
+)
 UNSURE = (504, {"error": "unsure", "message": "the platform stopped answering", "revision": 7})
 DOWN = (503, {"error": "platform_down", "message": "the platform does not answer; nothing was changed"})
-RESOURCES = [{"kind": "region", "name": "east", "spec": {"max_share": 0.8}},
-             {"kind": "region", "name": "north", "spec": {}}, {"kind": "region", "name": "west", "spec": {}}]
-SETTINGS = {"name": "east-1", "region": "east", "domain": "east-a", "secret": "a secret of sixteen",
-            "operator_token": "token of operators"}
+RESOURCES = [
+    {"kind": "region", "name": "east", "spec": {"max_share": 0.8}},
+    {"kind": "region", "name": "north", "spec": {}},
+    {"kind": "region", "name": "west", "spec": {}},
+]
+SETTINGS = {
+    "name": "east-1",
+    "region": "east",
+    "domain": "east-a",
+    "secret": "a secret of sixteen",
+    "operator_token": "token of operators",
+}
 LOG = [
     {"t_us": 1000000, "node": "east-1", "event": 1601, "name": "backend_unreachable", "backend": "shop-1"},
     {"t_us": 1100000, "node": "east-1", "event": 1601, "name": "backend_unreachable", "backend": "shop-9"},
     {"t_us": 1200000, "node": "west-1", "event": 1102, "name": "platform_down"},
-    {"t_us": 1500000, "node": "east-1", "event": 1902, "name": "attempt_failed", "id": "r-1", "backend": "shop-1",
-     "why": "cut", "status": 502},
-    {"t_us": 1600000, "node": "east-1", "event": 1901, "name": "request_ended", "id": "r-1", "outcome": "unknown",
-     "reason": "lost_answer", "service": "shop", "ms": 250},
-    {"t_us": 1700000, "node": "east-1", "event": 1901, "name": "request_ended", "id": "r-2", "outcome": "served",
-     "reason": "none", "service": "shop", "ms": 5},
-    {"t_us": 1800000, "node": "east-1", "event": 1901, "name": "request_ended", "id": "r-3", "outcome": "not_run",
-     "reason": "no_headroom", "service": "shop", "ms": 5}]
+    {
+        "t_us": 1500000,
+        "node": "east-1",
+        "event": 1902,
+        "name": "attempt_failed",
+        "id": "r-1",
+        "backend": "shop-1",
+        "why": "cut",
+        "status": 502,
+    },
+    {
+        "t_us": 1600000,
+        "node": "east-1",
+        "event": 1901,
+        "name": "request_ended",
+        "id": "r-1",
+        "outcome": "unknown",
+        "reason": "lost_answer",
+        "service": "shop",
+        "ms": 250,
+    },
+    {
+        "t_us": 1700000,
+        "node": "east-1",
+        "event": 1901,
+        "name": "request_ended",
+        "id": "r-2",
+        "outcome": "served",
+        "reason": "none",
+        "service": "shop",
+        "ms": 5,
+    },
+    {
+        "t_us": 1800000,
+        "node": "east-1",
+        "event": 1901,
+        "name": "request_ended",
+        "id": "r-3",
+        "outcome": "not_run",
+        "reason": "no_headroom",
+        "service": "shop",
+        "ms": 5,
+    },
+]
 DEPLOYMENT = {
-    "name": "small", "token": "token", "platform": "127.0.0.1:1", "backend_control": "127.0.0.1:2",
-    "entry_vms": [{"name": "east-1", "domain": "east-a", "region": "east", "callers": "127.0.0.1:3",
-                   "operators": "127.0.0.1:4"}],
-    "regions": {"east": {"callers": "10.1", "domains": ["east-a"]}}, "services": {"shop": {"backends": 1, "slots": 3}},
-    "domain_of_backend": {"shop-1": "east-a"}}
+    "name": "small",
+    "token": "token",
+    "platform": "127.0.0.1:1",
+    "backend_control": "127.0.0.1:2",
+    "entry_vms": [
+        {"name": "east-1", "domain": "east-a", "region": "east", "callers": "127.0.0.1:3", "operators": "127.0.0.1:4"}
+    ],
+    "regions": {"east": {"callers": "10.1", "domains": ["east-a"]}},
+    "services": {"shop": {"backends": 1, "slots": 3}},
+    "domain_of_backend": {"shop-1": "east-a"},
+}
 RUN = {"type": "run", "backend": "shop-1", "id": "r1", "key": "k1", "start": 100, "end": 1100, "running": 1, "slots": 3}
-REQUEST = {"type": "request", "id": "r1", "key": "k1", "service": "shop", "t0": 50, "t1": 5050, "outcome": "served",
-           "whole": True, "own": True, "sent": True}
+REQUEST = {
+    "type": "request",
+    "id": "r1",
+    "key": "k1",
+    "service": "shop",
+    "t0": 50,
+    "t1": 5050,
+    "outcome": "served",
+    "whole": True,
+    "own": True,
+    "sent": True,
+}
 
 # Name of a case, arguments of larkrack, answers of the stand-in in their order.
 OPERATOR_CASES = [
@@ -129,8 +226,10 @@
     ("larkrack-check version", ["larkrack-check", "--version"]),
     ("larkrack-check help", ["larkrack-check", "--help"]),
     ("larkrack-check of kept promises", ["larkrack-check", "--deployment", "deployment.json", "good.jsonl"]),
-    ("larkrack-check of a broken promise", ["larkrack-check", "--deployment", "deployment.json", "good.jsonl",
-                                            "broken.jsonl"]),
+    (
+        "larkrack-check of a broken promise",
+        ["larkrack-check", "--deployment", "deployment.json", "good.jsonl", "broken.jsonl"],
+    ),
     ("larkrackd without arguments", ["larkrackd"]),
     ("larkrackd version", ["larkrackd", "--version"]),
     ("larkrackd help", ["larkrackd", "--help"]),
@@ -193,18 +292,23 @@
 def write_files(folder):
     (folder / "folder").mkdir()
     documents = {
-        "resources.json": {"resources": RESOURCES}, "folder/b.json": RESOURCES[1:], "folder/a.json": RESOURCES[0],
-        "wrong_resources.json": [{"kind": "flavour", "name": "sweet"},
-                                 {"kind": "domain", "name": "east-a", "spec": {"region": "nowhere"}}],
+        "resources.json": {"resources": RESOURCES},
+        "folder/b.json": RESOURCES[1:],
+        "folder/a.json": RESOURCES[0],
+        "wrong_resources.json": [
+            {"kind": "flavour", "name": "sweet"},
+            {"kind": "domain", "name": "east-a", "spec": {"region": "nowhere"}},
+        ],
         "settings.json": settings_for((11, 12, 13, 14)),
         "wrong_settings.json": dict(settings_for((11, 12, 13, 14)), chooser="best", colour="blue"),
-        "deployment.json": DEPLOYMENT}
+        "deployment.json": DEPLOYMENT,
+    }
     for name, document in documents.items():
         (folder / name).write_text(json.dumps(document))
     (folder / "bad.json").write_text("{")
     lines = [json.dumps(line) for line in LOG]
     # A collector may put words of its own before a line, and there are lines of other programs.
-    (folder / "one.log").write_text("\n".join(["no JSON", "{\"other\":1}", "collector " + lines[0]] + lines[1:]) + "\n")
+    (folder / "one.log").write_text("\n".join(["no JSON", '{"other":1}', "collector " + lines[0]] + lines[1:]) + "\n")
     (folder / "two.log").write_text(json.dumps(dict(LOG[3], t_us=1400000, node="west-1", why="shed")) + "\n")
     (folder / "good.jsonl").write_text(json.dumps(RUN) + "\n" + json.dumps(REQUEST) + "\n")
     (folder / "broken.jsonl").write_text(json.dumps(dict(RUN, id="r2", start=9000, end=10000)) + "\n")
@@ -212,8 +316,16 @@
 
 def run(programs, folder, arguments, stdin="", environment=None):
     clean = {"PATH": os.environ["PATH"], **(environment or {})}
-    done = subprocess.run([str(programs / arguments[0])] + arguments[1:], cwd=folder, input=stdin, env=clean,
-                          capture_output=True, text=True, timeout=60, check=False)
+    done = subprocess.run(
+        [str(programs / arguments[0])] + arguments[1:],
+        cwd=folder,
+        input=stdin,
+        env=clean,
+        capture_output=True,
+        text=True,
+        timeout=60,
+        check=False,
+    )
     text = f"exit {done.returncode}\n"
     text += "".join(f"out {line}\n" for line in done.stdout.splitlines())
     text += "".join(f"err {line}\n" for line in done.stderr.splitlines())
@@ -223,8 +335,13 @@
 
 def operator_case(programs, folder, arguments, answers):
     server = stand_in(answers)
-    text = run(programs, folder, ["larkrack"] + arguments, stdin=json.dumps(RESOURCES[0]),
-               environment={"LARKRACK_OPERATORS": server.address, "LARKRACK_TOKEN": "token of operators"})
+    text = run(
+        programs,
+        folder,
+        ["larkrack"] + arguments,
+        stdin=json.dumps(RESOURCES[0]),
+        environment={"LARKRACK_OPERATORS": server.address, "LARKRACK_TOKEN": "token of operators"},
+    )
     server.close()
     return text + "".join(f"request {line}\n" for line in server.requests)
 
@@ -237,8 +354,13 @@
     """Starts larkrackd, asks it to stop, and gives its log and exit code."""
     ports = free_ports(4)
     (folder / "daemon.json").write_text(json.dumps(settings_for(ports)))
-    daemon = subprocess.Popen([str(programs / "larkrackd"), "--settings", "daemon.json"], cwd=folder,
-                              stdout=subprocess.PIPE, stderr=subprocess.STDOUT, text=True)
+    daemon = subprocess.Popen(
+        [str(programs / "larkrackd"), "--settings", "daemon.json"],
+        cwd=folder,
+        stdout=subprocess.PIPE,
+        stderr=subprocess.STDOUT,
+        text=True,
+    )
     lines = []
     for line in daemon.stdout:
         lines.append(without_times(line))
--- a/tests/gate_test.cpp
+++ b/tests/gate_test.cpp
@@ -162,6 +162,7 @@
 			m_gate.report("a", a, false, m_clock.steady());
 			m_gate.report("b", b, false, m_clock.steady());
 			std::vector<ticket> open;
+			open.reserve(5);
 			for (int at = 0; at < 5; ++at)
 			{
 				open.push_back(std::get<ticket>(enter()));
