--- a/tools/larkrack_load_report.cpp
+++ b/tools/larkrack_load_report.cpp
@@ -138,7 +138,7 @@
 	const bool drained = 0.0 <= verdict.last_new_work_s;
 	const nlohmann::json last_work =
 	    drained ? nlohmann::json(rounded(verdict.last_new_work_s)) : nlohmann::json();
-	const nlohmann::json summary = {{"experiment", _options.experiment}, {"deployment", _bench.place().name},
+	nlohmann::json summary = {{"experiment", _options.experiment}, {"deployment", _bench.place().name},
 	    {"seed", _options.seed}, {"requests", verdict.tries}, {"served", verdict.served},
 	    {"not_run", verdict.not_run}, {"unknown", verdict.unknown}, {"violations", violations},
 	    {"p50_ms", rounded(percentile(served_ms, 0.5))}, {"p99_ms", rounded(percentile(served_ms, 0.99))},
