--- a/src/steering/affinity_key.cpp
+++ b/src/steering/affinity_key.cpp
@@ -9,9 +9,9 @@
 {
 namespace
 {
-/// Seed of the hash of path prefixes; keeps it apart from the one of positions. All nodes must agree on it.
+/// Hash seed for path prefixes; differs from the position seed. All nodes must use the same value.
 constexpr std::uint64_t k_prefix_seed = 1;
-/// Seed of the hash of positions. All nodes must agree on it.
+/// Hash seed for positions. All nodes must use the same value.
 constexpr std::uint64_t k_position_seed = 2;
 } // namespace
 
--- a/src/steering/attempt_rules.cpp
+++ b/src/steering/attempt_rules.cpp
@@ -13,7 +13,7 @@
 const attempt_rule& rule_after(attempt_end _end, repeat_rule _repeat)
 {
 	using price = resend_price;
-	// Pass the answer on, keep it, reached a backend server, may have run, price of another attempt, reason.
+	// forward_response, keep_response, reached a backend server, may have run, allowance for a retry, reason.
 	static constexpr attempt_rule s_answered{true, false, true, false, price::never, reason::none};
 	static constexpr attempt_rule s_failed{false, true, true, true, price::retry_budget, reason::none};
 	static constexpr attempt_rule s_not_run{false, false, true, false, price::retry_budget, reason::shed};
@@ -64,13 +64,13 @@
 	}
 	if (_now >= _deadline)
 	{
-		return resend::deadline_over;
+		return resend::deadline_exceeded;
 	}
 	if (_history.reached > 0)
 	{
 		return resend::within_budget;
 	}
-	return _history.unsent < k_unsent_limit ? resend::free : resend::unsent_spent;
+	return _history.unsent < k_unsent_limit ? resend::free : resend::unsent_exhausted;
 }
 
 final_answer answer_without_resend(const attempt_history& _history, reason _why)
--- a/src/steering/attempt_rules_p.h
+++ b/src/steering/attempt_rules_p.h
@@ -2,31 +2,30 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// What follows each end of an attempt: send the request again, pass an answer on, or end it.
+/// Retry rules: what follows the end of an attempt at a backend server.
 ///
-/// Decides, when one attempt at a backend server has ended, whether another one may follow and with what the
-/// caller is answered if none does. Inputs: how the attempt ended, whether the route's requests may run more
-/// than once, how many attempts were made before, and the deadline.
+/// Decides, when an attempt has ended, whether the request may be sent again, and which response the caller
+/// gets otherwise. Inputs: how the attempt ended, whether the route's requests may run more than once, the
+/// number of earlier attempts, and the deadline.
 ///
 /// | end of the attempt | route | counts as | may have run | another attempt | reason otherwise |
 /// | --- | --- | --- | --- | --- | --- |
-/// | served (status below 500) | any | reached | - | none: the answer is passed on | none |
-/// | failed (status 500 and up) | at most once | reached | - | none: the answer is passed on | none |
-/// | failed | repeatable | reached | yes, answer is kept | from the retry budget | none |
+/// | served (status below 500) | any | reached | - | none: the response is forwarded | none |
+/// | failed (status 500 and up) | at most once | reached | - | none: the response is forwarded | none |
+/// | failed | repeatable | reached | yes, response is kept | from the retry budget | none |
 /// | not_run (load shedding) | any | reached | no | from the retry budget | shed |
 /// | not_sent | any | unsent | no | free up to k_unsent_limit, then from the retry budget | unreachable |
 /// | lost | repeatable | reached | yes | from the retry budget | lost_answer |
 /// | lost | at most once | reached | yes | none | lost_answer |
 ///
-/// When no attempt follows (none is permitted, the budget is spent, or no backend server has room), the
-/// request ends with the first of: a kept answer of a backend server, passed on as served; "unknown" with
-/// status 502, if it may have run; else it is refused with 503 and a time to come back (request_times_p.h).
-/// An at-most-once request is never sent again once a backend server may have run it.
+/// When no attempt follows (none is permitted, the budget is exhausted, or no backend server has a free
+/// slot), the request ends with the first that applies: a kept response of a backend server, forwarded as
+/// served; "unknown" with status 502, if the request may have run; otherwise it is refused with 503 and a
+/// retry time (request_times_p.h). An at-most-once request is never sent again once a backend server may have
+/// run it, and a lost request is never reported as "not run", since it may have run.
 ///
-/// Other ways: none was measured. Refusing a lost request as "not run" is ruled out, since it may have run.
-///
-/// Relies on upstream_exchange to tell "no byte was sent" from "lost", and on retry_budget_p.h to count the
-/// retries that need the budget.
+/// Relies on upstream_exchange to distinguish "no byte was sent" from "lost", and on retry_budget_p.h to
+/// count the retries that need the budget.
 #pragma once
 
 #include "base/clock_p.h"
@@ -36,93 +35,94 @@
 
 namespace larkrack
 {
-/// Attempts without a connection that one request makes, and up to which a new one is free. More reach a
-/// backend server behind several broken ones, and take time from the deadline (each up to the connect
-/// timeout). Not measured.
+/// Attempts of one request that may fail to connect while further attempts are free. A larger value gets a
+/// request past more unreachable backend servers, but each attempt can use up a connect timeout of the
+/// deadline.
 constexpr int k_unsent_limit = 3;
-/// Statuses of answers that this node makes itself. Fixed by HTTP.
-constexpr unsigned k_status_unknown = 502;          ///< Bad gateway: it may have run.
-constexpr unsigned k_status_refused = 503;          ///< Service unavailable: not run, come back later.
-constexpr unsigned k_status_unknown_deadline = 504; ///< Gateway timeout: it may have run.
+/// Statuses of responses that this node generates itself. Fixed by HTTP.
+constexpr unsigned k_status_unknown = 502; ///< Bad gateway: the request may have run.
+constexpr unsigned k_status_refused =
+    503; ///< Service unavailable: the request did not run and may be retried later.
+constexpr unsigned k_status_unknown_deadline = 504; ///< Gateway timeout: the request may have run.
 /// Lowest status that counts as a failure of the backend server. Fixed by HTTP.
 constexpr unsigned k_first_failure_status = 500;
 
 /// How one attempt ended.
 enum class attempt_end
 {
-	served,   ///< A whole answer with a status below 500.
-	failed,   ///< A whole answer with a status of 500 or more.
-	not_run,  ///< The backend server said that it did not run the request.
+	served,   ///< A complete response with a status below 500.
+	failed,   ///< A complete response with a status of 500 or more.
+	not_run,  ///< The backend server reported that it did not run the request.
 	not_sent, ///< No byte of the request was sent.
-	lost,     ///< It was sent, at least in part, and no whole answer came.
+	lost,     ///< At least part of the request was sent, and no complete response arrived.
 };
 
-/// @returns Whether an answer of this status is one of a failed backend server.
+/// @returns attempt_end::failed or attempt_end::served, by the status of a complete response.
 attempt_end end_of_answer(unsigned _status);
 
-/// What pays for another attempt.
+/// What a retry is charged to.
 enum class resend_price
 {
-	never,            ///< None may follow.
+	never,            ///< No retry may follow.
 	retry_budget,     ///< The retry budget.
-	free_when_unsent, ///< Nothing while few attempts ended unsent, then the retry budget.
+	free_when_unsent, ///< Free while fewer than k_unsent_limit attempts ended unsent, then the retry budget.
 };
 
 /// One row of the table above.
 struct attempt_rule
 {
-	bool pass_answer_on; ///< Its answer is final.
-	bool keep_answer;    ///< Its answer is passed on if no other attempt does better.
-	bool reached;        ///< A backend server got it, or at least a part of it.
+	bool pass_answer_on; ///< The response is final.
+	bool keep_answer;    ///< The response is forwarded unless a later attempt gets a better one.
+	bool reached;        ///< A backend server received at least part of the request.
 	bool may_have_run;
 	resend_price price;
-	reason why; ///< Reason told when nothing better follows.
+	reason why; ///< Reason reported to the caller if no later attempt succeeds.
 };
 
-/// @returns The row for an end.
+/// @returns The row of the table for an attempt's end.
 const attempt_rule& rule_after(attempt_end _end, repeat_rule _repeat);
 
 /// Attempts of one request so far.
 struct attempt_history
 {
 	int reached = 0; ///< Attempts that reached a backend server.
-	int unsent = 0;  ///< Attempts that did not.
+	int unsent = 0;  ///< Attempts that reached none.
 	bool may_have_run = false;
 	bool answer_kept = false;
 
-	/// Counts one more.
+	/// Counts one more attempt.
 	void count(const attempt_rule& _rule);
 };
 
 /// Whether another attempt may be made, and why not.
 enum class resend
 {
-	free,           ///< Nobody took it so far.
-	within_budget,  ///< If the retry budget has one left.
-	attempts_spent, ///< The route permits no more.
-	deadline_over,
-	unsent_spent, ///< Too many attempts without a connection.
+	free,           ///< No attempt has reached a backend server so far.
+	within_budget,  ///< Permitted if the retry budget allows it.
+	attempts_spent, ///< The route permits no further attempt.
+	deadline_exceeded,
+	unsent_exhausted, ///< Too many attempts without a connection.
 };
 
-/// @returns Whether an attempt without cost may follow at once.
+/// @returns Whether a retry that needs no budget may follow at once.
 bool may_resend_free(const attempt_rule& _rule, const attempt_history& _history);
-/// @param[in] _max_attempts Attempts that the route permits.
+/// @param[in] _max_attempts Maximum number of attempts that the route permits.
 bool attempts_spent(const attempt_history& _history, int _max_attempts);
-/// @param[in] _max_attempts Attempts that the route permits.
+/// @param[in] _max_attempts Maximum number of attempts that the route permits.
 resend may_resend(
     const attempt_history& _history, int _max_attempts, steady_time _now, steady_time _deadline);
 
-/// How a request ends that gets no answer of its last attempt.
+/// How a request ends when its last attempt has no response to forward.
 struct final_answer
 {
-	bool kept_answer = false;       ///< The kept answer of a backend server is passed on.
-	outcome end = outcome::not_run; ///< Not run: the caller gets a time to come back.
+	bool kept_answer = false;       ///< The kept response of a backend server is forwarded.
+	outcome end = outcome::not_run; ///< Not run: the caller gets a retry time.
 	reason why = reason::none;
-	unsigned status = k_status_refused; ///< Not used for a kept answer.
+	unsigned status = k_status_refused; ///< Not used for a kept response.
 };
 
 /// @param[in] _why Reason of the last attempt's rule.
 final_answer answer_without_resend(const attempt_history& _history, reason _why);
-/// @param[in] _sent Whether a byte of the running attempt was sent.
+/// @param[in] _sent Whether a byte of the current attempt was sent.
 final_answer answer_at_deadline(const attempt_history& _history, bool _sent);
 } // namespace larkrack
--- a/src/steering/backend_choice.cpp
+++ b/src/steering/backend_choice.cpp
@@ -13,7 +13,7 @@
 {
 namespace
 {
-/// A usable backend server and its place in the order.
+/// A usable backend server and its rank.
 struct candidate
 {
 	double rank; ///< Lower is better.
@@ -35,15 +35,15 @@
 	return _backend.connections < connections_of_node(_query.limits.max_connections, _query.sharers);
 }
 
-bool grant_cold(backend_state& _backend, const backend_query& _query, const warmup_sharing_base& _warmup,
-    steady_time _now)
+bool take_warmup_token(backend_state& _backend, const backend_query& _query,
+    const warmup_sharing_base& _warmup, steady_time _now)
 {
 	const double per_s = _query.limits.warmup_requests_per_s;
 	if (!_backend.cold(_now) || per_s <= 0.0)
 	{
 		return true;
 	}
-	// Only the nodes of its own region divide the budget of a cold backend server among themselves.
+	// Only the nodes of its own region share the warm-up budget of a cold backend server.
 	if (_backend.region != _query.own_region)
 	{
 		return false;
@@ -68,29 +68,29 @@
 	return rank;
 }
 
-/// Candidates one by one, the best first. Mostly one of the first few is chosen, so they are kept as a heap:
-/// with 3,000 backend servers in a region a choice takes 55 us, where a sorted list took 207.
-class candidate_order
+/// Yields candidates in order of rank, best first. Usually one of the first few is chosen, so a heap is used:
+/// with 3,000 backend servers in a region a choice takes 55 us, compared to 207 us with a sorted list.
+class ranked_candidates
 {
 public:
-	explicit candidate_order(std::vector<candidate> _candidates) : m_heap(std::move(_candidates))
+	explicit ranked_candidates(std::vector<candidate> _candidates) : m_heap(std::move(_candidates))
 	{
-		std::make_heap(m_heap.begin(), m_heap.end(), behind);
+		std::make_heap(m_heap.begin(), m_heap.end(), ranks_lower);
 	}
-	std::size_t left() const
+	std::size_t size() const
 	{
 		return m_heap.size();
 	}
 	backend_state& next()
 	{
-		std::pop_heap(m_heap.begin(), m_heap.end(), behind);
+		std::pop_heap(m_heap.begin(), m_heap.end(), ranks_lower);
 		backend_state& best = *m_heap.back().backend;
 		m_heap.pop_back();
 		return best;
 	}
 
 private:
-	static bool behind(const candidate& _left, const candidate& _right)
+	static bool ranks_lower(const candidate& _left, const candidate& _right)
 	{
 		return _left.rank > _right.rank;
 	}
@@ -98,34 +98,35 @@
 	std::vector<candidate> m_heap;
 };
 
-/// @returns Whether a rest alone keeps requests from it.
-bool only_rests(const backend_state& _backend, steady_time _now)
+/// @returns Whether the backend server is unavailable only because of a rest period.
+bool unavailable_only_by_rest(const backend_state& _backend, steady_time _now)
 {
 	return _backend.rest.resting(_now) && _backend.accepts_new_requests() && !_backend.ejection.ejected(_now);
 }
 
-/// @param[out] _back_at End of the first rest to end among those that only rest; not set when none does.
-candidate_order in_order(const backend_query& _query, steady_time _now, steady_time& _back_at)
+/// @param[out] _back_at Earliest end of a rest among the backend servers that are unavailable only because of
+/// a rest; not set if there are none.
+ranked_candidates rank_candidates(const backend_query& _query, steady_time _now, steady_time& _back_at)
 {
-	std::vector<candidate> order;
+	std::vector<candidate> candidates_by_rank;
 	for (backend_state* backend : *_query.candidates)
 	{
-		const bool takes_part = _query.versions.admits(backend->registered.version);
-		if (!takes_part || backend->region != _query.region)
+		const bool version_admitted = _query.versions.admits(backend->registered.version);
+		if (!version_admitted || backend->region != _query.region)
 		{
 			continue;
 		}
 		if (backend->usable(_now))
 		{
-			order.push_back({rank_of(*backend, _query, _now), backend});
+			candidates_by_rank.push_back({rank_of(*backend, _query, _now), backend});
 		}
-		else if (only_rests(*backend, _now))
+		else if (unavailable_only_by_rest(*backend, _now))
 		{
 			const steady_time until = backend->rest.until();
 			_back_at = steady_time{} == _back_at ? until : std::min(_back_at, until);
 		}
 	}
-	return candidate_order(std::move(order));
+	return ranked_candidates(std::move(candidates_by_rank));
 }
 
 bool is_among(const backend_state& _backend, const std::vector<backend_id>* _ids)
@@ -133,20 +134,20 @@
 	return nullptr != _ids && _ids->end() != std::find(_ids->begin(), _ids->end(), _backend.registered.id);
 }
 
-/// Place of a candidate for a request with a key; without a key all have the same.
-struct key_place
+/// Role of a candidate for a request with a key; all false for a request without a key.
+struct key_role
 {
-	bool first = false;   ///< The first one of the key.
-	bool foreign = false; ///< Not one of the key's own.
+	bool first = false;   ///< The first backend server of the key.
+	bool not_own = false; ///< Not one of the key's own backend servers.
 };
 
-/// @param[in] _share_per_s This node's even share of requests for each backend server.
-/// @returns What keeps a request from a backend server, its limit left aside.
-std::optional<backend_choice_reason> obstacle(backend_state& _backend, const backend_query& _query,
-    const key_place& _place, double _share_per_s, const warmup_sharing_base& _warmup, steady_time _now)
+/// @param[in] _share_per_s This node's even share of requests for each backend server, per second.
+/// @returns Why the backend server can not take the request, apart from its reported limit.
+std::optional<backend_choice_reason> rejection_reason(backend_state& _backend, const backend_query& _query,
+    const key_role& _role, double _share_per_s, const warmup_sharing_base& _warmup, steady_time _now)
 {
 	using why = backend_choice_reason;
-	if (_place.foreign && _backend.estimated_load(_now) > k_idle_part * _backend.registered.slots)
+	if (_role.not_own && _backend.estimated_load(_now) > k_idle_part * _backend.registered.slots)
 	{
 		return why::not_own_of_key;
 	}
@@ -154,7 +155,7 @@
 	{
 		return why::all_tried;
 	}
-	if (!has_slot(_backend, _place.first ? k_own_depth : 1.0, _query.own_portion, _now))
+	if (!has_slot(_backend, _role.first ? k_own_depth : 1.0, _query.own_portion, _now))
 	{
 		return why::no_slot;
 	}
@@ -164,17 +165,18 @@
 	}
 	if (!_backend.rest.may_return(_share_per_s, _now))
 	{
-		return why::returning;
+		return why::ramping_up;
 	}
-	if (!grant_cold(_backend, _query, _warmup, _now))
+	if (!take_warmup_token(_backend, _query, _warmup, _now))
 	{
-		return why::cold_budget;
+		return why::warmup_exhausted;
 	}
 	return std::nullopt;
 }
 
-/// @returns Whether the limit of a backend server lets the request through, now or in a moment.
-quota_answer token_for(const backend_state& _backend, const backend_query& _query)
+/// Takes a token if the backend server reports a limit.
+/// @returns Whether the limit permits the request, now or within a moment.
+quota_answer take_limit_token(const backend_state& _backend, const backend_query& _query)
 {
 	if (nullptr == _query.tokens || !_backend.limit.limited())
 	{
@@ -190,33 +192,37 @@
 {
 	using why = backend_choice_reason;
 	backend_choice none;
-	candidate_order order = in_order(_query, _now, none.back_at);
-	if (0 == order.left())
+	ranked_candidates candidates_by_rank = rank_candidates(_query, _now, none.back_at);
+	if (0 == candidates_by_rank.size())
 	{
 		none.why = steady_time{} == none.back_at ? why::none_usable : why::all_resting;
 		return none;
 	}
-	const double share_per_s = _query.region_per_s / static_cast<double>(order.left());
-	const auto own = static_cast<std::size_t>(
+	const double share_per_s = _query.region_per_s / static_cast<double>(candidates_by_rank.size());
+	const auto preferred_count = static_cast<std::size_t>(
 	    k_key_servers +
-	    std::ceil(k_key_servers_by_share * _query.key_part * static_cast<double>(order.left())));
-	std::size_t passed = 0; ///< Those without a token left aside: the next one takes their place.
-	while (order.left() > 0)
+	    std::ceil(k_key_servers_by_share * _query.key_part * static_cast<double>(candidates_by_rank.size())));
+	/// Candidates rejected so far; those without a token are not counted, so that the next candidate takes
+	/// their place.
+	std::size_t rejected = 0;
+	while (candidates_by_rank.size() > 0)
 	{
-		backend_state& backend = order.next();
+		backend_state& backend = candidates_by_rank.next();
 		if (is_among(backend, _query.without_token))
 		{
 			none.why = why::none_usable == none.why ? why::limit_spent : none.why;
 			continue;
 		}
-		const key_place place{_query.key.any() && 0 == passed, _query.key.any() && passed >= own};
-		if (const std::optional<why> kept = obstacle(backend, _query, place, share_per_s, _warmup, _now))
+		const key_role role{
+		    _query.key.any() && 0 == rejected, _query.key.any() && rejected >= preferred_count};
+		if (const std::optional<why> rejection =
+		        rejection_reason(backend, _query, role, share_per_s, _warmup, _now))
 		{
-			none.why = *kept;
-			++passed;
+			none.why = *rejection;
+			++rejected;
 			continue;
 		}
-		const quota_answer token = token_for(backend, _query);
+		const quota_answer token = take_limit_token(backend, _query);
 		if (quota_answer::waits == token)
 		{
 			return {&backend, why::awaits_token};
@@ -230,7 +236,7 @@
 			}
 			continue;
 		}
-		return {&backend, place.foreign      ? why::idle_for_key
+		return {&backend, role.not_own       ? why::idle_for_key
 		                  : _query.key.any() ? why::own_of_key
 		                                     : why::least_load};
 	}
--- a/src/steering/backend_state_p.h
+++ b/src/steering/backend_state_p.h
@@ -2,13 +2,14 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// What decisions need to know of one backend server; its address and connections are not among it.
+/// State of one backend server that steering decisions read; its address and connection objects are kept
+/// elsewhere.
 ///
-/// Decides whether a backend server is meant to get new requests (its registration, evacuations, slow
-/// start) and whether it gets them now (its rests and outlier ejection besides). How many requests it holds:
-/// load_estimate_p.h.
+/// Decides whether a backend server may get new requests in principle (registration, evacuations), whether
+/// it is in slow start, and whether it may get requests now (also considering rests and outlier ejection).
+/// The number of requests that it holds is estimated in load_estimate_p.h.
 ///
-/// Relies on: backend_registry, which owns the objects and puts in what the platform's registry says.
+/// Relies on backend_registry, which owns the objects and updates them from the platform's registry.
 #pragma once
 
 #include "steering/backend_limit_p.h"
@@ -23,22 +24,23 @@
 
 namespace larkrack
 {
-/// What a backend server says of itself in the platform's registry. A new start has a new id, or the id of
-/// before with another time of its start.
+/// What a backend server declares in the platform's registry. A restart has a new id, or the previous id with
+/// a different start time.
 struct backend_registration
 {
 	backend_id id;
-	std::int64_t born_ms = 0; ///< When it started, as Unix milliseconds; 0: it does not say.
+	std::int64_t born_ms = 0; ///< Start time, Unix milliseconds; 0: not declared.
 	service_name service;
 	domain_name domain;
-	version_name version;                     ///< Of its software.
-	int slots = 1;                            ///< Requests that it runs at once.
-	bool draining = false;                    ///< It ends what it has and wants no new requests.
-	std::chrono::milliseconds warmup_left{0}; ///< Until it is warm, from the moment this was written.
+	version_name version;  ///< Version of its software.
+	int slots = 1;         ///< Requests that it runs concurrently.
+	bool draining = false; ///< It completes its requests and accepts no new ones.
+	std::chrono::milliseconds warmup_left{
+	    0}; ///< Time until it is warm, counted from when the entry was written.
 };
 
-/// @returns Hash of one life of a backend server: what is counted of a former life is not counted of a new
-/// one.
+/// @returns Hash of one incarnation of a backend server, so that counts of an earlier incarnation are not
+/// applied to a new one.
 std::uint32_t life_hash(const backend_registration& _registration);
 
 /// One backend server.
@@ -46,27 +48,27 @@
 {
 	backend_registration registered;
 	region_name region;        ///< Empty: its failure domain is in no known region.
-	std::uint32_t id_hash = 0; ///< Stands for this life of it in heartbeats, see life_hash().
-	bool gone = false;         ///< Its entry left the registry.
+	std::uint32_t id_hash = 0; ///< Identifies this incarnation in heartbeats, see life_hash().
+	bool gone = false;         ///< Its entry was removed from the registry.
 	bool evacuated = false;    ///< Its failure domain is being evacuated.
-	steady_time cold_until{};  ///< Slow start until then.
+	steady_time cold_until{};  ///< End of its slow start.
 	int connections = 0;       ///< Open connections of this node.
-	int idle_connections = 0;  ///< Those of them that no request uses.
-	token_bucket warmup;       ///< This node's part of the request rate that it bears while cold.
+	int idle_connections = 0;  ///< Open connections that no request uses.
+	token_bucket warmup;       ///< This node's share of its request rate during slow start.
 	load_estimate load;        ///< Requests that it holds.
-	outlier_ejection ejection; ///< Its failures.
-	named_limit limit;         ///< What it takes a second from all nodes, if it says so.
-	backend_rest rest;         ///< Time for which it wants nothing from this node.
-	bool said_leaving = false; ///< Beside an answer to this node, whatever its entry says.
+	outlier_ejection ejection; ///< Its recent failures.
+	named_limit limit;         ///< Maximum requests per second from all nodes, if it reports a limit.
+	backend_rest rest;         ///< Period during which it asked this node to send no requests.
+	bool said_leaving = false; ///< A response to this node said that it is leaving, whatever its entry says.
 
-	/// Its entry and its answers may differ on whether it leaves: either word is enough. The one of an answer
-	/// holds for its life, the one of an entry until the next entry.
-	/// @returns Whether it is meant to get new requests, failures left aside.
+	/// The registry entry and responses to this node may disagree on whether the backend server is leaving:
+	/// either is sufficient. A response holds for the whole incarnation, an entry until the next entry.
+	/// @returns Whether it may get new requests, rests and failures aside.
 	bool accepts_new_requests() const
 	{
 		return !gone && !evacuated && !registered.draining && !said_leaving;
 	}
-	/// @returns Whether it wants requests of this node now, failures left aside.
+	/// @returns Whether it accepts requests of this node now, failures aside.
 	bool wants_requests(steady_time _now) const
 	{
 		return accepts_new_requests() && !rest.resting(_now);
@@ -76,17 +78,17 @@
 	{
 		return wants_requests(_now) && !ejection.ejected(_now);
 	}
-	/// @returns Whether it is in slow start: it bears a small rate of requests only.
+	/// @returns Whether it is in slow start and can take only a low request rate.
 	bool cold(steady_time _now) const
 	{
 		return _now < cold_until;
 	}
-	/// @returns Requests that it probably holds, of all nodes.
+	/// @returns Estimated number of requests of all nodes that it holds.
 	double estimated_load(steady_time _now) const
 	{
 		return load.requests(_now);
 	}
-	/// Takes the end of an exchange of this node with it.
+	/// Records the end of an exchange between this node and the backend server.
 	ejection_decision on_exchange_end(backend_signal _signal, steady_time _now)
 	{
 		if (backend_signal::refused == _signal)
--- a/src/steering/blocked_requests.cpp
+++ b/src/steering/blocked_requests.cpp
@@ -22,7 +22,7 @@
 	it->second.seen_at = _now;
 	if (is_new)
 	{
-		make_room();
+		evict_oldest();
 	}
 	return true;
 }
@@ -45,14 +45,15 @@
 		return block_decision::open;
 	}
 	found->seen_at = _now;
-	return may_look(found->block, _versions) ? block_decision::may_ask : block_decision::refuse;
+	return trial_allowed(found->block, _versions) ? block_decision::may_ask : block_decision::refuse;
 }
 
 std::optional<request_block> blocked_requests::grant_look(
     const request_fingerprint& _request, std::uint32_t _versions, steady_time _now)
 {
 	entry* found = find_entry(_request);
-	const bool granted = nullptr != found && _now >= found->next_look && may_look(found->block, _versions);
+	const bool granted =
+	    nullptr != found && _now >= found->next_trial && trial_allowed(found->block, _versions);
 	if (!granted)
 	{
 		return std::nullopt;
@@ -60,7 +61,7 @@
 	++found->block.looks;
 	++found->block.number;
 	found->block.versions = _versions;
-	found->next_look = _now + k_look_pause;
+	found->next_trial = _now + k_look_pause;
 	return found->block;
 }
 
@@ -74,7 +75,7 @@
 	}
 	--found->block.looks;
 	++found->block.number;
-	found->next_look = _now;
+	found->next_trial = _now;
 	return found->block;
 }
 
@@ -82,9 +83,9 @@
 {
 	request_fingerprint any = _request;
 	any.caller = k_any_caller;
-	for (const request_fingerprint& one : {_request, any})
+	for (const request_fingerprint& candidate : {_request, any})
 	{
-		const request_block* block = known(one);
+		const request_block* block = known(candidate);
 		if (nullptr != block && block->blocked)
 		{
 			return block;
@@ -135,7 +136,7 @@
 	return nullptr == block ? nullptr : &m_entries.find(block->request)->second;
 }
 
-bool blocked_requests::may_look(const request_block& _block, std::uint32_t _versions) const
+bool blocked_requests::trial_allowed(const request_block& _block, std::uint32_t _versions) const
 {
 	const bool other_versions = 0 == _block.looks || _block.versions != _versions;
 	return _block.looks < k_most_looks && other_versions;
@@ -151,17 +152,17 @@
 	return m_entries.erase(_entry);
 }
 
-void blocked_requests::make_room()
+void blocked_requests::evict_oldest()
 {
 	if (m_entries.size() <= k_most_blocked)
 	{
 		return;
 	}
-	const auto unseen = std::min_element(m_entries.begin(), m_entries.end(),
+	const auto oldest = std::min_element(m_entries.begin(), m_entries.end(),
 	    [](const auto& _left, const auto& _right)
 	    {
 		    return _left.second.seen_at < _right.second.seen_at;
 	    });
-	forget(unseen);
+	forget(oldest);
 }
 } // namespace larkrack
--- a/src/steering/crash_evidence.cpp
+++ b/src/steering/crash_evidence.cpp
@@ -10,9 +10,9 @@
 {
 namespace
 {
-/// @returns How many different backend servers ended, of those ends that meet a condition.
+/// @returns Number of distinct backend servers among the crashes that meet a condition.
 template <typename Condition>
-std::size_t lives_of(const std::deque<backend_end>& _ends, Condition _condition)
+std::size_t distinct_backends(const std::deque<backend_end>& _ends, Condition _condition)
 {
 	std::set<std::uint32_t> lives;
 	for (const backend_end& one : _ends)
@@ -35,32 +35,32 @@
     const request_fingerprint& _request, const backend_end& _end)
 {
 	const auto [it, is_new] = m_by_content.try_emplace(_request.content);
-	suspect& suspected = it->second;
+	suspect& found = it->second;
 	if (is_new)
 	{
-		suspected.head = _request.head;
+		found.head = _request.head;
 		++m_heads[_request.head];
 		m_order.push_back(_request.content);
 	}
-	const bool known = std::any_of(suspected.ends.begin(), suspected.ends.end(),
+	const bool already_counted = std::any_of(found.ends.begin(), found.ends.end(),
 	    [&_end](const backend_end& _other)
 	    {
 		    return _other.life == _end.life && _other.caller == _end.caller;
 	    });
-	if (!known)
+	if (!already_counted)
 	{
-		suspected.ends.push_back(_end);
+		found.ends.push_back(_end);
 	}
-	if (suspected.ends.size() > k_most_ends)
+	if (found.ends.size() > k_most_ends)
 	{
-		suspected.ends.pop_front();
+		found.ends.pop_front();
 	}
 	std::optional<request_fingerprint> blamed;
 	if (ends_of(_request) >= k_blamed_ends)
 	{
 		blamed = _request;
 	}
-	else if (lives_of(suspected.ends, counts_for_all) >= k_blamed_ends)
+	else if (distinct_backends(found.ends, counts_for_all) >= k_blamed_ends)
 	{
 		blamed = request_fingerprint{_request.head, _request.content, k_any_caller};
 	}
@@ -78,7 +78,7 @@
 	{
 		return;
 	}
-	// What serves one caller may still end servers for another one, but not for all.
+	// A request that is served for one caller may still crash servers for another caller, but not for all.
 	std::deque<backend_end>& ends = it->second.ends;
 	ends.erase(std::remove_if(ends.begin(), ends.end(),
 	               [&_request](const backend_end& _end)
@@ -103,7 +103,7 @@
 	{
 		return 0;
 	}
-	return lives_of(it->second.ends,
+	return distinct_backends(it->second.ends,
 	    [&_request](const backend_end& _end)
 	    {
 		    return _end.caller == _request.caller;
--- a/src/steering/crash_evidence_p.h
+++ b/src/steering/crash_evidence_p.h
@@ -2,23 +2,24 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Crash evidence: whether a request is to blame for the ends of the backend servers that ran it.
+/// Crash evidence: whether a request is to blame for the crashes of the backend servers that ran it.
 ///
-/// Inputs: lives of backend servers that ended, each with the requests that were on it, as any node saw them;
+/// Inputs: crashes of backend servers, each with the requests that were running there, as seen by any node;
 /// requests that were served.
 ///
-/// Rule: a request is to blame once k_blamed_ends backend servers have ended under it and it was not served
-/// meanwhile. What is the same is told by the fingerprint: first of one caller, and where several callers
-/// have sent the same, of all of them. An end that several nodes saw counts once, whoever tells of it first.
+/// Rule: a request is blamed once k_blamed_ends backend servers have crashed while running it, unless it was
+/// served meanwhile. Requests are identified by their fingerprint: first for one caller, and if several
+/// callers have sent the same request, for all callers. A crash that several nodes report counts once,
+/// whoever reports it first.
 ///
-/// A backend server takes all its requests with it, so one that is innocent may be blamed that ran beside the
-/// one at fault three times in a row. Such a one clears itself when it is let through alone
-/// (blocked_requests_p.h).
+/// A crash takes all requests of a backend server with it, so an innocent request that ran beside the faulty
+/// one three times in a row may be blamed. It is cleared when it is let through alone (blocked_requests_p.h).
 ///
-/// Why not another way: blame by the part of a request's runs that ended a server needs a digest of each
-/// request that is served; this way nothing is worked out while no server ends.
+/// Alternative considered: blaming a request by the fraction of its runs that ended in a crash needs a digest
+/// of each request that is served; with this rule nothing is computed while no backend server crashes.
 ///
-/// Relies on: one node counting for all (crash_guard), so that three nodes that saw one end each count three.
+/// Relies on one node counting for the whole fleet (crash_guard), so that three nodes that each saw one crash
+/// count three.
 #pragma once
 
 #include "steering/request_fingerprint_p.h"
@@ -32,36 +33,37 @@
 
 namespace larkrack
 {
-/// Backend servers that have to end under a request before it is to blame. One or two may end by themselves
-/// beside it.
+/// Number of backend servers that have to crash while running a request before it is blamed. One or two may
+/// crash by coincidence.
 constexpr std::size_t k_blamed_ends = 3;
-/// Time for which an end is remembered. Shorter: a request that comes each few minutes is never blamed.
+/// Time for which a crash is remembered. Shorter: a request that arrives every few minutes is never blamed.
 constexpr std::chrono::minutes k_end_kept{10};
-/// Requests with ends that are remembered; those that were told of first are forgotten first.
+/// Maximum number of suspected requests; the oldest are evicted first.
 constexpr std::size_t k_most_suspects = 4096;
-/// Ends of one request that are remembered: enough that those of other callers do not hide three of one.
+/// Maximum number of crashes remembered for one request: enough that crashes of other callers do not displace
+/// three of one caller.
 constexpr std::size_t k_most_ends = 12;
 
-/// A backend server that ended under a request.
+/// Crash of a backend server that was running a request.
 struct backend_end
 {
 	std::uint32_t life = 0; ///< life_hash() of the backend server.
 	std::uint32_t caller = k_any_caller;
-	bool caller_only =
-	    false; ///< Other callers were served the same lately: it counts against this one alone.
+	bool caller_only = false; ///< Other callers were recently served the same request: the crash counts
+	                          ///< against this caller only.
 	steady_time at{};
 };
 
-/// What has ended under which requests.
+/// Crashes by the requests that were running.
 class crash_evidence
 {
 public:
-	/// Takes the end of a backend server under a request.
-	/// @returns Who is to blame now: the request of its caller, or of any; nothing: nobody yet.
+	/// Records the crash of a backend server that was running a request.
+	/// @returns The request that is blamed now, for its caller or for all callers; nothing: none yet.
 	std::optional<request_fingerprint> on_end(const request_fingerprint& _request, const backend_end& _end);
-	/// Takes note that a request was served: what ended under it of that caller counts no more.
+	/// Records that a request was served: earlier crashes of it for that caller no longer count.
 	void on_served(const request_fingerprint& _request);
-	/// @returns Backend servers that have ended under the request of this caller.
+	/// @returns Number of backend servers that crashed while running this caller's request.
 	std::size_t ends_of(const request_fingerprint& _request) const;
 	/// @returns Whether any request with that head is suspected.
 	bool suspects(std::uint64_t _head) const
@@ -72,19 +74,19 @@
 	{
 		return m_by_content.empty();
 	}
-	/// Forgets what is too old; call it at a steady interval.
+	/// Removes expired crashes; call it at a regular interval.
 	void tick(steady_time _now);
 
 private:
 	struct suspect
 	{
 		std::uint64_t head = 0;
-		std::deque<backend_end> ends; ///< By the time that they were told.
+		std::deque<backend_end> ends; ///< In order of their reports.
 	};
 	void forget(std::map<std::uint64_t, suspect>::iterator _suspect);
 
 	std::map<std::uint64_t, suspect> m_by_content;
-	std::map<std::uint64_t, std::size_t> m_heads; ///< Suspects by head.
-	std::deque<std::uint64_t> m_order;            ///< Contents, by the time that they came.
+	std::map<std::uint64_t, std::size_t> m_heads; ///< Number of suspects by head.
+	std::deque<std::uint64_t> m_order;            ///< Content hashes, in order of insertion.
 };
 } // namespace larkrack
--- a/src/steering/customer.cpp
+++ b/src/steering/customer.cpp
@@ -17,13 +17,13 @@
 {
 namespace
 {
-/// Highest rate and burst that a customer may be given, requests (a second). Higher ones are taken for a
-/// mistake: no fleet serves them, and sums of them would lose digits. Not measured.
+/// Maximum rate (requests per second) and burst (requests) of a customer. Higher values are rejected as
+/// mistakes: no fleet serves them, and sums would lose precision.
 constexpr double k_most_requests = 1e9;
-/// Seed of the ids of customers; all nodes must agree on it. No tuning value.
+/// Hash seed for customer ids; all nodes must use the same value. Not a tuning value.
 constexpr std::uint64_t k_customer_seed = 3;
-/// Slots of the key table for two keys. More: memory, 24 bytes each. Fewer: longer probes. At 3 a look-up
-/// among 40,000 keys takes 1.5 probes on average.
+/// Slots of the key table for every two keys. Higher values use more memory, 24 bytes per slot; lower values
+/// lengthen probe sequences. With 3, a lookup among 40,000 keys takes 1.5 probes on average.
 constexpr std::size_t k_slots_per_two_keys = 3;
 
 using secret_words = std::array<std::uint32_t, XXH3_SECRET_SIZE_MIN / sizeof(std::uint32_t) + 1>;
@@ -43,13 +43,13 @@
 	return s_secret;
 }
 
-bool is_sound(double _requests)
+bool is_valid_limit(double _requests)
 {
 	return std::isfinite(_requests) && _requests >= 0.0 && _requests <= k_most_requests;
 }
 
-/// The name goes to backend servers as the value of a header.
-bool fits_header(const std::string& _name)
+/// The name is sent to backend servers as a header value.
+bool is_header_safe(const std::string& _name)
 {
 	return std::none_of(_name.begin(), _name.end(),
 	    [](char _letter)
@@ -58,23 +58,23 @@
 	    });
 }
 
-error refused(const customer& _customer, const std::string& _why)
+error invalid_customer(const customer& _customer, const std::string& _why)
 {
 	return {"bad_customers", "customer " + _customer.name.text + " " + _why};
 }
 
-/// @returns What makes a customer impossible by itself; an empty text when nothing does.
-std::string mistake_in(const customer_entry& _entry)
+/// @returns Why the customer is invalid; empty if it is valid.
+std::string validation_error(const customer_entry& _entry)
 {
 	if (_entry.who.name.empty())
 	{
 		return "has no name";
 	}
-	if (!fits_header(_entry.who.name.text))
+	if (!is_header_safe(_entry.who.name.text))
 	{
 		return "has a name with control characters";
 	}
-	if (!is_sound(_entry.who.limit.per_s) || !is_sound(_entry.who.limit.burst))
+	if (!is_valid_limit(_entry.who.limit.per_s) || !is_valid_limit(_entry.who.limit.burst))
 	{
 		return "has an impossible rate or burst";
 	}
@@ -106,10 +106,10 @@
 	std::size_t keys = 0;
 	for (customer_entry& entry : _entries)
 	{
-		const std::string mistake = mistake_in(entry);
-		if (!mistake.empty())
+		const std::string problem = validation_error(entry);
+		if (!problem.empty())
 		{
-			return refused(entry.who, mistake);
+			return invalid_customer(entry.who, problem);
 		}
 		entry.who.id = customer_id(entry.who.name.text);
 		keys += entry.keys.size();
@@ -125,7 +125,7 @@
 	{
 		if (!directory.m_customers.empty() && directory.m_customers.back().id == entry.who.id)
 		{
-			return refused(entry.who, "is named twice");
+			return invalid_customer(entry.who, "is named twice");
 		}
 		directory.m_customers.push_back(std::move(entry.who));
 		const auto holder = static_cast<std::uint32_t>(directory.m_customers.size());
@@ -133,7 +133,7 @@
 		{
 			if (!directory.insert(key, holder))
 			{
-				return refused(directory.m_customers.back(), "holds a key of another customer");
+				return invalid_customer(directory.m_customers.back(), "holds a key of another customer");
 			}
 		}
 	}
--- a/src/steering/customer_p.h
+++ b/src/steering/customer_p.h
@@ -2,20 +2,20 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Customers: who may send requests, known by API keys, and what each may have.
+/// Customers: authenticates callers by API key and holds what each customer is entitled to.
 ///
-/// Decides whose request it is. Inputs: the text of a key as a caller sent it; customers and keys as the
-/// configuration names them.
+/// Finds the customer that a request belongs to. Inputs: the API key that a caller sent; customers and keys
+/// of the configuration.
 ///
-/// Rule: a table holds a digest of 128 bits of each key under a secret of this process, not the key. A
-/// look-up is one digest and one probe on average, whatever the number of customers and keys, and compares
-/// whole digests, so its time does not tell how much of a key was right. A configuration with customers that
-/// contradict each other is refused whole.
+/// Rule: a table holds a 128-bit digest of each key, computed with a secret of this process, and not the key
+/// itself. A lookup takes one digest and about one probe on average, independent of the number of customers
+/// and keys, and compares whole digests, so its duration does not reveal how much of a key was correct. A
+/// configuration with contradicting customers is rejected as a whole.
 ///
-/// Other ways (docs/design/shifted-customers.md): the keys themselves in a hash map take 4 times the memory,
-/// and comparing them stops at the first wrong letter.
+/// Alternatives considered (docs/design/shifted-customers.md): the keys themselves in a hash map take 4 times
+/// the memory, and comparing them stops at the first wrong character.
 ///
-/// Relies on: the secret being random; two keys with the same digest are taken for the same key.
+/// Relies on the secret being random; two keys with the same digest are treated as the same key.
 #pragma once
 
 #include "steering/names_p.h"
@@ -33,14 +33,14 @@
 {
 using customer_name = text_id<struct customer_name_tag>;
 
-/// A key by which a customer is known. It is never printed, logged, exported or told to other nodes.
+/// A customer's API key. It must not be printed, logged, exported or sent to other nodes.
 class api_key
 {
 public:
 	explicit api_key(std::string _text) : m_text(std::move(_text))
 	{
 	}
-	/// @returns The key itself, for the digest alone.
+	/// @returns The key itself, to compute its digest only.
 	std::string_view secret() const
 	{
 		return m_text;
@@ -51,7 +51,7 @@
 	std::string m_text;
 };
 
-/// One customer as operators declare it. Its id is the hash of its name.
+/// One customer of the configuration. Its id is the hash of its name.
 struct customer : quota_subject
 {
 	customer_name name;
@@ -70,9 +70,9 @@
 class customer_directory
 {
 public:
-	/// Without customers: no request needs a key.
+	/// No customers are configured: no request needs a key.
 	customer_directory() = default;
-	/// @returns The directory, or the error "bad_customers" that names the place and never a key.
+	/// @returns The directory, or the error "bad_customers", which names the invalid entry and never a key.
 	static result<customer_directory> build(std::vector<customer_entry> _entries);
 
 	/// @returns Whether requests need a key, unless their route is public.
@@ -80,10 +80,10 @@
 	{
 		return m_in_force;
 	}
-	/// @param[in] _key As a caller sent it.
-	/// @returns Null when no customer holds it.
+	/// @param[in] _key As sent by the caller.
+	/// @returns Null if no customer holds the key.
 	const customer* find(std::string_view _key) const;
-	/// @returns Null when there is no such customer.
+	/// @returns Null if there is no such customer.
 	const customer* find_by_id(std::uint64_t _id) const;
 	const std::vector<customer>& customers() const
 	{
@@ -101,12 +101,12 @@
 		key_digest digest;
 		std::uint32_t holder = 0; ///< Index into m_customers plus one; 0: free.
 	};
-	/// @returns False when another customer holds the key.
+	/// @returns False if another customer holds the key.
 	bool insert(const api_key& _key, std::uint32_t _holder);
 	std::size_t slot_of(const key_digest& _digest) const;
 	static key_digest digest_of(std::string_view _key);
 
-	std::vector<customer> m_customers; ///< By rising id.
+	std::vector<customer> m_customers; ///< Sorted by id.
 	std::vector<key_slot> m_slots;     ///< Open addressing; the size is a power of two.
 	bool m_in_force = false;
 };
@@ -114,14 +114,14 @@
 /// @returns Hash of a customer's name, the same at all nodes.
 std::uint64_t customer_id(std::string_view _name);
 
-/// Home regions that bind a request: those of its route and those of its customer.
+/// Home regions that restrict a request: those of its route and those of its customer.
 struct home_regions
 {
-	std::vector<std::string> regions; ///< Empty: any, unless none is left.
-	bool none_left = false;           ///< Route and customer have homes, but none in common.
+	std::vector<std::string> regions; ///< Empty: any region, unless none_left is set.
+	bool none_left = false;           ///< Route and customer have home regions, but none in common.
 };
 
-/// @returns What remains when both bind.
+/// @returns The regions that both permit.
 home_regions common_homes(
     const std::vector<std::string>& _of_route, const std::vector<std::string>& _of_customer);
 } // namespace larkrack
--- a/src/steering/demand_meter_p.h
+++ b/src/steering/demand_meter_p.h
@@ -2,16 +2,14 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Demand meter: what this node measures of the requests of one service.
+/// Demand meter: measures the request rate and service time of one service at this node.
 ///
-/// Decides the rate (requests a second) and the mean service time (seconds) from which shares are planned
-/// (region_plan_p.h) and which heartbeats tell to the other nodes. Inputs: each first try, and the time from
-/// sending a request to its whole answer. Rule: exponentially weighted moving averages, the rate by time and
-/// the service time by exchange.
+/// Provides the rate (requests per second) and the mean service time (seconds) from which region shares are
+/// planned (region_plan_p.h) and which heartbeats report to the other nodes. Inputs: each first attempt, and
+/// the time from sending a request to its complete response. Both are exponentially weighted moving averages,
+/// the rate by time and the service time by exchange.
 ///
-/// Other ways: none was measured.
-///
-/// Relies on a tick at a steady interval.
+/// Relies on a tick at a regular interval.
 #pragma once
 
 #include "steering/rates_p.h"
@@ -25,22 +23,24 @@
 namespace larkrack
 {
 /// Time constant of the rate, seconds: the newest tick has a weight of its length divided by this. Longer is
-/// steadier, shorter follows a jump sooner. Not measured.
+/// steadier, shorter follows a change sooner.
 constexpr double k_rate_memory_s = 2.0;
-/// Weight of the newest exchange in the mean service time, no unit. Smaller is steadier. Not measured.
+/// Weight of the newest exchange in the mean service time, no unit. Smaller is steadier.
 constexpr double k_service_time_weight = 0.05;
-/// Service time before any exchange has ended, seconds. Not measured.
+/// Service time assumed before any exchange has ended, seconds.
 constexpr double k_service_time_prior_s = 0.4;
 
-/// Requests a second of all regions below which nothing counts as measured. Not measured.
+/// Requests per second, summed over all regions, below which the rate counts as not measured yet.
 constexpr double k_least_demand_per_s = 0.5;
 
-/// How much of the demand the first rates do not tell yet: an average that began at zero misses a part of it.
+/// How far the moving averages of the rates have converged since the first requests: they start at zero and
+/// underestimate the demand at first.
 class first_rates
 {
 public:
-	/// @param[in] _per_s Of all nodes, averaged with k_rate_memory_s.
-	/// @returns Part of the demand, 0 to 1; 1 as long as there are hardly any requests.
+	/// @param[in] _per_s Rates of all nodes, averaged with k_rate_memory_s.
+	/// @returns Fraction of the demand that is not measured yet, 0 to 1; 1 as long as there are hardly any
+	/// requests.
 	double unmeasured(const rate_by_region& _per_s, steady_time _now)
 	{
 		if (!m_since)
@@ -60,25 +60,25 @@
 	}
 
 private:
-	std::optional<steady_time> m_since; ///< When anything was measured first.
+	std::optional<steady_time> m_since; ///< When a rate was measured first.
 };
 
 /// Averages of one service.
 class demand_meter
 {
 public:
-	/// Counts a first try.
+	/// Counts a first attempt.
 	void count_arrival()
 	{
 		++m_arrivals;
 	}
-	/// Takes the time of an exchange that was answered.
+	/// Adds the duration of an exchange that ended with a response.
 	void add_service_time(double _took_s)
 	{
 		m_service_time_s += k_service_time_weight * (_took_s - m_service_time_s);
 	}
-	/// Takes the arrivals since the last tick into the rate.
-	/// @param[in] _passed_s Time since then.
+	/// Updates the rate with the arrivals since the last tick.
+	/// @param[in] _passed_s Seconds since the last tick.
 	void tick(double _passed_s)
 	{
 		const double weight = std::min(1.0, _passed_s / k_rate_memory_s);
--- a/src/steering/domain_digest.cpp
+++ b/src/steering/domain_digest.cpp
@@ -12,17 +12,17 @@
 {
 namespace
 {
-/// Nodes of a failure domain that send digests of it, in turn. More: more bytes. Fewer: a dead one ends the
-/// news of its failure domain until it is seen to be dead.
+/// Nodes of a failure domain that take turns in sending its digests. Higher values send more bytes. Lower
+/// values: a dead delegate interrupts the digests of its failure domain until it is detected.
 constexpr std::size_t k_delegates = 2;
-/// Milliseconds between two digests to a failure domain of the region. Longer: look-ups name dead nodes
-/// longer. Shorter: more bytes (6 KB for each of two failure domains of 110 nodes). Not measured alone.
+/// Milliseconds between two digests to a failure domain of the same region. Longer: lookups return dead nodes
+/// for longer. Shorter: more bytes (6 KB for each of two failure domains of 110 nodes).
 constexpr std::chrono::milliseconds k_near_interval{1000};
-/// The same to a far one: bytes between regions cost most.
+/// Milliseconds between two digests to a failure domain of another region: bytes between regions cost most.
 constexpr std::chrono::milliseconds k_far_interval{4000};
-/// Digests in a row that may be missed. More: a dead node is named longer. Fewer: a live one is taken out:
-/// with 5 of 100 datagrams lost, 14 of 100 parts are lost on their three ways, and three in a row once in
-/// 360.
+/// Maximum number of consecutive digests that may be missed. Higher values keep a dead node in lookups for
+/// longer. Lower values drop live nodes: with 5 of 100 datagrams lost, 14 of 100 parts are lost on their
+/// three hops, and three in a row once in 360.
 constexpr int k_missed_digests = 3;
 } // namespace
 
@@ -73,7 +73,7 @@
 			relays.push_back(m_order[i]);
 		}
 	}
-	// If it is a relay itself, it does that part too.
+	// If this node is a relay itself, it also sends to that relay's nodes.
 	const std::vector<const node_name*> own = next(_self);
 	relays.insert(relays.end(), own.begin(), own.end());
 	return relays;
@@ -81,7 +81,7 @@
 
 std::vector<const node_name*> relay_plan::next(const node_name& _self) const
 {
-	std::vector<const node_name*> told;
+	std::vector<const node_name*> relayed_to;
 	for (std::size_t relay = 0; relay < m_relays && relay < m_order.size(); ++relay)
 	{
 		if (*m_order[relay] != _self)
@@ -90,9 +90,9 @@
 		}
 		for (std::size_t i = relay + m_relays; i < m_order.size(); i += m_relays)
 		{
-			told.push_back(m_order[i]);
+			relayed_to.push_back(m_order[i]);
 		}
 	}
-	return told;
+	return relayed_to;
 }
 } // namespace larkrack
--- a/src/steering/entry_life_p.h
+++ b/src/steering/entry_life_p.h
@@ -2,20 +2,22 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Decides of which life of a backend server an entry tells, when it may start again under its id.
+/// Decides which incarnation of a backend server a registry entry belongs to, when a backend server may
+/// restart under the same id.
 ///
-/// Inputs: the times of the starts (Unix milliseconds of the backend server's own clock; 0: not told) of the
-/// entry in use and of the one that came.
+/// Inputs: the start times (Unix milliseconds by the backend server's own clock; 0: not declared) of the
+/// current entry and of the received entry.
 ///
-/// Rule: a later start is a new life, which knows and runs nothing of the one before; the same start, or one
-/// that is not told, is the same life. An entry with an earlier start is mostly a late write of a former life
-/// and is put aside: the life in use writes again within a heartbeat. If it does not, the clock of its VM
-/// went back, and the entry holds after k_former_entry_life.
+/// Rule: a later start time is a new incarnation, which has no knowledge and no requests of the previous one;
+/// the same or an undeclared start time is the same incarnation. An entry with an earlier start time is
+/// usually a late write of a former incarnation and is ignored: the current incarnation writes again within a
+/// heartbeat. If it does not, the clock of its VM went back, and the entry is accepted after
+/// k_former_entry_life.
 ///
-/// Why not the order of the store's revisions alone: a write of a former life that the store carries out
-/// seconds late would bring back its counts and connections.
+/// Alternative considered: with the order of the store's revisions alone, a write of a former incarnation
+/// that the store executes seconds late would restore its counts and connections.
 ///
-/// Relies on: state_replica to hand in entries by revision.
+/// Relies on state_replica to pass in entries in order of their revisions.
 #pragma once
 
 #include "base/clock_p.h"
@@ -24,20 +26,20 @@
 
 namespace larkrack
 {
-/// Seconds for which an entry with an earlier start is put aside: three heartbeats of a backend server (3 s),
-/// after which the entry of a life that has ended is gone. Longer: one whose clock went back is known later.
-/// Shorter: a late write of a former life holds. Not measured.
+/// Seconds for which an entry with an earlier start time is ignored: three heartbeats of a backend server (3
+/// s), after which the entry of an ended incarnation has expired. Longer: a backend server whose clock went
+/// back is recognized later. Shorter: a late write of a former incarnation is accepted.
 constexpr std::chrono::seconds k_former_entry_life{9};
 
-/// What an entry tells of.
+/// Incarnation that an entry belongs to.
 enum class entry_life
 {
-	same,   ///< The life that is known.
-	newer,  ///< A new one, under the same id.
-	former, ///< One that seems to be over.
+	same,   ///< The current incarnation.
+	newer,  ///< A new incarnation under the same id.
+	former, ///< An incarnation that has probably ended.
 };
 
-/// @param[in] _known_born_ms Of the entry in use.
-/// @param[in] _born_ms Of the one that came.
+/// @param[in] _known_born_ms Start time of the current entry.
+/// @param[in] _born_ms Start time of the received entry.
 entry_life life_of_entry(std::int64_t _known_born_ms, std::int64_t _born_ms);
 } // namespace larkrack
--- a/src/steering/entry_removal.cpp
+++ b/src/steering/entry_removal.cpp
@@ -9,19 +9,19 @@
 {
 namespace
 {
-/// Milliseconds for which a vanished entry is kept while the store answers. Longer: requests go to a backend
-/// server that left. Shorter: one that renews late falls out of use. Set by the sum of all delays on
-/// 80 nodes; not measured.
+/// Milliseconds for which a vanished entry is kept while the store is reachable. Longer: requests go to a
+/// backend server that left. Shorter: a backend server that renews its lease late is removed. Set by the sum
+/// of all delays with 80 nodes.
 constexpr std::chrono::milliseconds k_removal_delay{500};
-/// Milliseconds for which an entry is kept at most that vanished while the store was away. Longer: requests
-/// go to backend servers that left during the outage. Shorter: an outage takes live ones out of use. Not
-/// measured.
+/// Maximum number of milliseconds for which an entry that vanished during a store outage is kept. Longer:
+/// requests go to backend servers that left during the outage. Shorter: an outage removes live backend
+/// servers.
 constexpr std::chrono::milliseconds k_removal_delay_outage{6000};
-/// Milliseconds behind the store's return after which owners that live have written their entries again.
-/// Longer: those that left are kept. Shorter: live ones fall out of use for a moment. Not measured.
+/// Milliseconds after the end of a store outage by which live owners have written their entries again.
+/// Longer: backend servers that left are kept. Shorter: live ones are removed for a moment.
 constexpr std::chrono::milliseconds k_lapse_repair{2000};
-/// Milliseconds of an outage in which no entry lapses. Longer: lapsed entries of live owners are honoured.
-/// Shorter: a single failed call delays removals. Not measured.
+/// Minimum length in milliseconds of an outage that lets leases expire. Longer: expired entries of live
+/// owners are removed. Shorter: a single failed call delays removals.
 constexpr std::chrono::milliseconds k_harmless_outage{1000};
 } // namespace
 
@@ -32,7 +32,7 @@
 		return;
 	}
 	m_lost_at = _now;
-	m_lapses_until.reset();
+	m_reregistered_by.reset();
 }
 
 void entry_removal::on_store_regained(steady_time _now)
@@ -41,7 +41,7 @@
 	{
 		return;
 	}
-	m_lapses_until = _now - *m_lost_at < k_harmless_outage ? _now : _now + k_lapse_repair;
+	m_reregistered_by = _now - *m_lost_at < k_harmless_outage ? _now : _now + k_lapse_repair;
 }
 
 removal_decision entry_removal::plan(steady_time _vanished_at) const
@@ -52,15 +52,15 @@
 		return {due, removal_reason::vanished};
 	}
 	const steady_time latest = _vanished_at + k_removal_delay_outage;
-	if (!m_lapses_until)
+	if (!m_reregistered_by)
 	{
-		return {latest, removal_reason::store_away};
+		return {latest, removal_reason::store_unreachable};
 	}
-	const steady_time repaired = std::min(latest, *m_lapses_until);
+	const steady_time repaired = std::min(latest, *m_reregistered_by);
 	if (repaired <= due)
 	{
 		return {due, removal_reason::vanished};
 	}
-	return {repaired, removal_reason::store_returned};
+	return {repaired, removal_reason::store_recovered};
 }
 } // namespace larkrack
--- a/src/steering/fleet_view_p.h
+++ b/src/steering/fleet_view_p.h
@@ -2,9 +2,9 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Fleet view: what the decisions about a request ask of the other nodes.
+/// Fleet view: the interface through which request decisions query the other nodes.
 ///
-/// Relies on fleet to implement it from heartbeats; a test gives fixed answers.
+/// Implemented by fleet from heartbeats; tests implement it with fixed values.
 #pragma once
 
 #include "steering/backend_choice_p.h"
@@ -12,51 +12,53 @@
 
 namespace larkrack
 {
-/// A node that lends tokens.
+/// A node that is responsible for a customer, a limit or another shared item, for example as the lender of
+/// its tokens.
 struct quota_holder
 {
 	std::string ip;              ///< Empty: this node.
 	std::uint32_t name_hash = 0; ///< short_hash of its name; 0: there is none.
 };
 
-/// The lenders of one thing: of a customer, or of a backend server.
+/// The nodes that are responsible for one item, such as a customer or a backend server.
 struct quota_holders
 {
 	quota_holder first;
 	quota_holder stand_in;
 };
 
-/// Nodes that may lend.
+/// Counts of the nodes that may be responsible for items.
 struct nodes_in_sight
 {
-	double live = 1.0;         ///< That take requests, this one among them.
-	double most = 1.0;         ///< Most nodes ever seen at once.
-	std::uint64_t version = 0; ///< Grows when one comes or goes.
+	double live = 1.0;         ///< Live nodes that take requests, including this one.
+	double most = 1.0;         ///< Maximum number of nodes ever live at once.
+	std::uint64_t version = 0; ///< Increases when a node joins or leaves.
 };
 
-/// What the decisions about a request ask of the fleet of nodes.
+/// What request decisions need to know of the other nodes.
 class fleet_view_base : public warmup_sharing_base
 {
 public:
-	/// @returns Nodes that draw from shared budgets.
+	/// @returns Nodes that share the budgets.
 	virtual sharing sharers() const = 0;
-	/// @returns Requests a second for a service, by region of the nodes that took them; this node left out.
+	/// @returns Requests per second for a service, by region of the nodes that received them; without this
+	/// node.
 	virtual rate_by_region demand_of_others(const service_name& _service) const = 0;
-	/// @returns Requests a second for a service that may run in one region only, by that region; this node
-	/// left out.
+	/// @returns Requests per second for a service that may run in only one region, by that region; without
+	/// this node.
 	virtual rate_by_region bound_of_others(const service_name& _service) const = 0;
-	/// @returns This node's part of the slots of a service's backend servers in a region, by what each node
-	/// sends there.
+	/// @returns This node's portion of the slots of a service's backend servers in a region, by the rates
+	/// that each node sends there.
 	virtual slot_portion portion(const service_name& _service, const region_name& _region) const = 0;
 	/// @param[in] _customer customer::id.
 	virtual quota_holders holders_of(std::uint64_t _customer) const = 0;
 	virtual nodes_in_sight in_sight() const = 0;
-	/// @param[in] _thing Hash of what is lent, the same at all nodes.
-	/// @returns The lenders among the nodes of one region; without any in sight, name_hash of the first is 0.
-	virtual quota_holders holders_in(const region_name& _region, std::uint64_t _thing) const = 0;
-	/// @returns The same as in_sight(), of this region's nodes alone.
+	/// @param[in] _item Hash of the item, the same at all nodes.
+	/// @returns The responsible nodes in one region; if none is live, name_hash of the first is 0.
+	virtual quota_holders holders_in(const region_name& _region, std::uint64_t _item) const = 0;
+	/// @returns The same as in_sight(), for nodes of this region only.
 	virtual nodes_in_sight in_sight_of_region() const = 0;
-	/// @returns Addresses of the other nodes of this region that answer.
+	/// @returns Addresses of the other live nodes of this region.
 	virtual std::vector<std::string> region_addresses() const = 0;
 };
 } // namespace larkrack
--- a/src/steering/key_frequency_p.h
+++ b/src/steering/key_frequency_p.h
@@ -2,14 +2,12 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Key frequency: how often each affinity key is asked for, in bounded memory.
+/// Key frequency: how often each affinity key is requested, in bounded memory.
 ///
-/// Decides which part of a service's requests a key has, so that a frequent key gets more backend servers
-/// (backend_choice_p.h). Input: the key of each first try. Rule: a counting hash table of fixed size whose
-/// counts are halved from time to time. Keys that share a bucket are taken for one, so a frequency is never
-/// too small.
-///
-/// Other ways: none was measured.
+/// Estimates the fraction of a service's requests that have a key, so that a frequent key gets more backend
+/// servers (backend_choice_p.h). Input: the key of each first attempt. Rule: a counting hash table of fixed
+/// size whose counts are halved from time to time. Keys that share a bucket are counted together, so a
+/// frequency is never underestimated.
 #pragma once
 
 #include "steering/affinity_key_p.h"
@@ -20,16 +18,16 @@
 
 namespace larkrack
 {
-/// Buckets for each service, 2 bytes each. More keep keys apart, and cost memory. Not measured.
+/// Buckets for each service, 2 bytes each. Higher values separate more keys and use more memory.
 constexpr std::size_t k_key_buckets = 512;
-/// Requests below which no frequency is told. Fewer tell noise, more let a frequent key wait at first. Not
-/// measured.
+/// Requests below which no frequency is reported. Lower values report noise, higher values delay more backend
+/// servers for a frequent key.
 constexpr std::uint32_t k_enough_requests = 100;
-/// Requests after which all counts are halved. Fewer follow changes sooner, more give steadier frequencies;
-/// counts stay within 16 bits. Not measured.
+/// Requests after which all counts are halved. Lower values follow changes sooner, higher values give
+/// steadier frequencies; counts must fit into 16 bits.
 constexpr std::uint32_t k_halve_at_requests = 2000;
 
-/// Counts keys in buckets; old counts fade.
+/// Counts keys in buckets; old counts decay.
 class key_frequency
 {
 public:
@@ -43,7 +41,7 @@
 		++m_counts[_key.hash % k_key_buckets];
 		++m_all;
 	}
-	/// @returns Part of all requests that have this key; 0 while too few were counted.
+	/// @returns Fraction of all requests that have this key; 0 while too few were counted.
 	double part_of(affinity_key _key) const
 	{
 		return m_all < k_enough_requests ? 0.0
--- a/src/steering/load_estimate.cpp
+++ b/src/steering/load_estimate.cpp
@@ -9,10 +9,9 @@
 {
 namespace
 {
-/// Milliseconds for which a report counts more than heartbeats. Longer: the load of a moment ago is taken for
-/// that of now, and several nodes send into the same free slot. Shorter: heartbeats, which miss requests that
-/// were sent since, decide more often. Set to the heartbeat interval of a small fleet;
-/// not measured alone.
+/// Milliseconds for which a report takes precedence over heartbeats. Longer: an outdated load is taken for
+/// the current one, and several nodes send to the same free slot. Shorter: heartbeats, which miss requests
+/// that were sent since, are used more often. Set to the heartbeat interval of a small fleet.
 constexpr std::chrono::milliseconds k_report_fresh{100};
 } // namespace
 
--- a/src/steering/load_estimate_p.h
+++ b/src/steering/load_estimate_p.h
@@ -2,29 +2,29 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Decides how many requests a backend server holds, of all nodes.
+/// Estimates how many requests of all nodes a backend server holds.
 ///
-/// Inputs: this node's own count (requests, exact); what the heartbeats of other nodes tell of theirs
-/// (requests, one heartbeat interval old); the load that the backend server reports beside an answer
-/// (requests, of its own knowledge); the time (steady clock).
+/// Inputs: this node's own count (requests, exact); the counts in heartbeats of other nodes (requests, one
+/// heartbeat interval old); the load that the backend server reports with a response (requests, by its own
+/// count); the time (steady clock).
 ///
-/// Rule: the estimate is the own count plus the requests of other nodes. These are taken from the last
-/// report of the backend server while that is fresh (k_report_fresh), and from the heartbeats after that.
+/// Rule: the estimate is the own count plus the requests of other nodes. The latter are taken from the last
+/// report of the backend server while it is fresh (k_report_fresh), and from the heartbeats after that.
 ///
-/// Why not another way (docs/DESIGN.md, "Direct sending"; a loaded fleet of nine nodes):
+/// Alternatives considered (docs/DESIGN.md, "Direct sending"; a loaded fleet of nine nodes):
 /// - reports of backend servers alone: worth 0.147 and queues up to 0.8 s, since each of nine nodes took an
-///   old report for the whole load; with heartbeats and slot portions 0.309;
-/// - an owner for each backend server, which counts exactly: not measured here; half of the failure domains
-///   have one node.
+///   old report for the total load; with heartbeats and slot portions 0.309;
+/// - an owner node for each backend server, which counts exactly: half of the failure domains have only one
+///   node.
 ///
-/// Relies on: in_flight being raised and lowered with each exchange, also with one that is cancelled.
+/// Relies on in_flight being incremented and decremented with each exchange, including cancelled ones.
 #pragma once
 
 #include "base/clock_p.h"
 
 namespace larkrack
 {
-/// Load as a backend server reports it beside an answer, in requests of all nodes.
+/// Load that a backend server reports with a response, in requests of all nodes.
 struct backend_load
 {
 	int running = 0;
@@ -32,16 +32,17 @@
 	int slots = 0;
 };
 
-/// Requests that one backend server holds, from three sources.
+/// Number of requests at one backend server, from three sources.
 class load_estimate
 {
 public:
-	/// @returns Requests that it probably holds, of all nodes.
+	/// @returns Estimated number of requests of all nodes.
 	double requests(steady_time _now) const;
-	/// Takes a report of the backend server itself.
+	/// Takes a load report of the backend server.
 	void on_report(const backend_load& _load, steady_time _now);
-	/// Takes that it refused a request for want of a free slot: other nodes hold at least its slots.
-	/// @param[in] _slots What it has, in requests.
+	/// Records that the backend server refused a request because it had no free slot: other nodes use at
+	/// least all its slots.
+	/// @param[in] _slots Number of its slots.
 	void on_refused(int _slots, steady_time _now);
 
 	int in_flight = 0;           ///< Requests of this node.
--- a/src/steering/lookup_answer.cpp
+++ b/src/steering/lookup_answer.cpp
@@ -11,13 +11,13 @@
 {
 namespace
 {
-/// Addresses in one answer; the platform's callers take no more. Fewer: callers of one answer crowd on few
-/// nodes.
+/// Maximum number of addresses in a lookup response; the platform's callers use no more. Lower values
+/// concentrate the callers of one response on few nodes.
 constexpr std::size_t k_named_addresses = 64;
 
-/// Leaves as many nodes as an answer takes, drawn by the node that answers: each draws others, and the same
-/// ones as long as they are live.
-void draw(std::vector<const node_heartbeat*>& _nodes, const std::string& _own)
+/// Reduces the list to the maximum size of a response, by rendezvous hashing seeded with the responding
+/// node's address: each responding node selects different nodes, and the same ones as long as they are live.
+void select_subset(std::vector<const node_heartbeat*>& _nodes, const std::string& _own)
 {
 	if (_nodes.size() <= k_named_addresses)
 	{
@@ -32,23 +32,23 @@
 	_nodes.resize(k_named_addresses);
 }
 
-/// @returns Addresses of nodes of a region; of all regions when it is empty.
-std::vector<std::string> addresses_in(const region_name& _region,
+/// @returns Addresses of live nodes of a region; of all regions if _region is empty.
+std::vector<std::string> live_addresses(const region_name& _region,
     const std::vector<const node_heartbeat*>& _ready, const live_test& _is_live, const std::string& _own)
 {
-	std::vector<const node_heartbeat*> named;
+	std::vector<const node_heartbeat*> selected;
 	for (const node_heartbeat* node : _ready)
 	{
-		const bool wanted = _region.empty() || node->region == _region;
-		if (wanted && _is_live(*node))
+		const bool region_matches = _region.empty() || node->region == _region;
+		if (region_matches && _is_live(*node))
 		{
-			named.push_back(node);
+			selected.push_back(node);
 		}
 	}
-	draw(named, _own);
+	select_subset(selected, _own);
 	std::vector<std::string> addresses;
-	addresses.reserve(named.size());
-	for (const node_heartbeat* node : named)
+	addresses.reserve(selected.size());
+	for (const node_heartbeat* node : selected)
 	{
 		addresses.push_back(node->callers);
 	}
@@ -59,20 +59,20 @@
 lookup_decision plan_lookup(const region_name& _region, const std::vector<region_name>& _homes,
     const std::vector<const node_heartbeat*>& _ready, const live_test& _is_live, const std::string& _own)
 {
-	std::vector<std::string> addresses = addresses_in(_region, _ready, _is_live, _own);
+	std::vector<std::string> addresses = live_addresses(_region, _ready, _is_live, _own);
 	if (!addresses.empty())
 	{
 		return {lookup_reason::own_region, std::move(addresses)};
 	}
 	for (const region_name& home : _homes)
 	{
-		addresses = addresses_in(home, _ready, _is_live, _own);
+		addresses = live_addresses(home, _ready, _is_live, _own);
 		if (!addresses.empty())
 		{
 			return {lookup_reason::home_region, std::move(addresses)};
 		}
 	}
-	addresses = addresses_in(region_name(), _ready, _is_live, _own);
+	addresses = live_addresses(region_name(), _ready, _is_live, _own);
 	if (!addresses.empty())
 	{
 		return {lookup_reason::any_region, std::move(addresses)};
--- a/src/steering/lookup_answer_p.h
+++ b/src/steering/lookup_answer_p.h
@@ -2,22 +2,19 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Decides which nodes the answer to a look-up names.
+/// Decides which nodes a lookup response lists.
 ///
 /// Inputs: the region of the caller; the home regions of the host's routes, in the order of the
-/// configuration; the nodes that are ready and live, this one among them if it is ready.
+/// configuration; the nodes that are ready and live, including this node if it is ready.
 ///
-/// Rule (failover by locality): all nodes of the caller's region; if there are none, those of the first
-/// home region that has any; if none has, those of all regions; if no node is ready, this one, which serves
-/// on while it stops. At most k_named_addresses; where there are more, each answering node draws its own ones
-/// (rendezvous hashing), so that the callers of a large region spread over all of it: of 98 nodes, the first
-/// 64 by name had all callers and the others none.
+/// Rule (failover by locality): all nodes of the caller's region; if there are none, those of the first home
+/// region that has any; if none has, those of all regions; if no node is ready, only this node, which still
+/// serves requests while it stops. The maximum is k_named_addresses; if there are more nodes, each responding
+/// node selects its own subset (rendezvous hashing), so that the callers of a large region spread over all
+/// nodes: of 98 nodes, the first 64 by name had all callers and the others none.
 ///
-/// Why not another way: naming the nodes of other regions beside those of the caller's region was not
-/// measured.
-///
-/// Relies on: node_liveness for who is live. A node that died is named until its silence is too long
-/// (longest_silence), and by callers for the time to live of the answer on top.
+/// Relies on node_liveness for the live nodes. A node that died is listed until its timeout
+/// (longest_silence), and used by callers for the time to live of the response in addition.
 #pragma once
 
 #include "steering/node_heartbeat_p.h"
@@ -26,28 +23,28 @@
 
 namespace larkrack
 {
-/// Where the named nodes are.
+/// Where the listed nodes are.
 enum class lookup_reason
 {
-	own_region,  ///< In the caller's region, or in any when the caller names none.
+	own_region,  ///< In the caller's region, or in any region if the caller states none.
 	home_region, ///< In a home region of the host.
-	any_region,  ///< Anywhere: neither has a ready node.
-	none_ready,  ///< This node alone: no node is ready.
+	any_region,  ///< In any region: neither of the above has a ready node.
+	none_ready,  ///< Only this node: no node is ready.
 };
 
-/// The answer to a look-up.
+/// The response to a lookup.
 struct lookup_decision
 {
 	lookup_reason reason = lookup_reason::own_region;
 	std::vector<std::string> addresses; ///< "IP:port"; never empty.
 };
 
-/// Tells whether a node is live. Asked only of nodes that may be named, since each answer reads the clock.
+/// Tells whether a node is live. Called only for nodes that may be listed, since each call reads the clock.
 using live_test = std::function<bool(const node_heartbeat&)>;
 
-/// @param[in] _region Of the caller; empty: it does not say.
+/// @param[in] _region Region of the caller; empty: not stated.
 /// @param[in] _homes Home regions of the host.
-/// @param[in] _ready Nodes that said that they are ready, in the order in which they are to be named.
+/// @param[in] _ready Nodes that reported that they are ready, in the order in which they are listed.
 /// @param[in] _own Address of this node.
 lookup_decision plan_lookup(const region_name& _region, const std::vector<region_name>& _homes,
     const std::vector<const node_heartbeat*>& _ready, const live_test& _is_live, const std::string& _own);
--- a/src/steering/loop_gap_p.h
+++ b/src/steering/loop_gap_p.h
@@ -2,57 +2,57 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Loop gap: since when a request that is read now may have waited in its socket, while the process stood
-/// still or its VM was suspended.
+/// Loop stall detection: determines since when a request that is read now may have waited in its socket,
+/// while the process was stalled or its VM was suspended.
 ///
-/// Inputs: each turn of the node's loop, at least one in k_longest_turn while it runs.
+/// Inputs: each iteration of the node's event loop, at least one in k_longest_turn while it runs.
 ///
-/// Rule: where no turn came for longer, what is read within k_backlog after it may have come at any moment
-/// of the gap, and counts from its begin. Whoever waits for it has waited as long; a time-out that counted
-/// from the reading would outlive its caller, and a backend server would work for nobody.
+/// Rule: if no iteration occurred for longer, everything that is read within k_backlog after the stall may
+/// have arrived at any moment of it, and counts as arrived at its start. The caller has waited since then; a
+/// timeout counted from the read would outlast the caller's own, and a backend server would work for nobody.
 ///
-/// Relies on: a clock that counts the time of a suspension.
+/// Relies on a clock that includes the time of a suspension.
 #pragma once
 
 #include "base/clock_p.h"
 
 namespace larkrack
 {
-/// Longest time between two turns of a loop that runs: twice the longest pause between two ticks, less what a
-/// time-out may be too long.
+/// Maximum time between two iterations of a running loop: twice the longest pause between two ticks, less the
+/// permitted excess of a timeout.
 constexpr std::chrono::milliseconds k_longest_turn{400};
-/// Time for which what lay in the sockets is being read after a gap.
+/// Time after a stall during which requests that were waiting in sockets are read.
 constexpr std::chrono::milliseconds k_backlog{100};
 
-/// Finds the gaps.
+/// Detects stalls of the event loop.
 class loop_gap
 {
 public:
-	/// Takes note of a turn of the loop.
+	/// Records an iteration of the loop.
 	void on_turn(steady_time _now)
 	{
-		if (steady_time{} != m_last_turn && _now - m_last_turn > k_longest_turn)
+		if (steady_time{} != m_last_iteration && _now - m_last_iteration > k_longest_turn)
 		{
-			m_gap_began = m_last_turn;
+			m_stall_began = m_last_iteration;
 			m_backlog_until = _now + k_backlog;
 		}
-		m_last_turn = _now;
+		m_last_iteration = _now;
 	}
-	/// @returns The earliest moment at which a request may have come that is read now. Before the first turn
-	/// it is now.
+	/// @returns The earliest time at which a request that is read now may have arrived; the current time
+	/// before the first iteration.
 	steady_time arrival(steady_time _now)
 	{
-		if (steady_time{} == m_last_turn)
+		if (steady_time{} == m_last_iteration)
 		{
 			return _now;
 		}
 		on_turn(_now);
-		return _now < m_backlog_until ? m_gap_began : _now;
+		return _now < m_backlog_until ? m_stall_began : _now;
 	}
 
 private:
-	steady_time m_last_turn{};
-	steady_time m_gap_began{};
+	steady_time m_last_iteration{};
+	steady_time m_stall_began{};
 	steady_time m_backlog_until{};
 };
 } // namespace larkrack
--- a/src/steering/lost_backends.cpp
+++ b/src/steering/lost_backends.cpp
@@ -11,7 +11,7 @@
 {
 void lost_backends::keep(const backend_state& _backend, steady_time _now)
 {
-	forget_older(_now);
+	forget_expired(_now);
 	const backend_id& id = _backend.registered.id;
 	const steady_time leaving_until = _backend.said_leaving ? _now + k_leaving_kept : steady_time{};
 	const steady_time forgotten_at = std::max(_backend.rest.until(), leaving_until);
@@ -30,7 +30,7 @@
 
 void lost_backends::restore(backend_state& _backend, steady_time _now)
 {
-	forget_older(_now);
+	forget_expired(_now);
 	const auto found = m_lost.find(_backend.registered.id);
 	if (m_lost.end() == found)
 	{
@@ -44,7 +44,7 @@
 	forget(_backend.registered.id);
 }
 
-void lost_backends::forget_older(steady_time _now)
+void lost_backends::forget_expired(steady_time _now)
 {
 	while (!m_by_time.empty() && m_by_time.begin()->first <= _now)
 	{
--- a/src/steering/lost_backends_p.h
+++ b/src/steering/lost_backends_p.h
@@ -2,17 +2,19 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// What backend servers said that have lost their entry in the registry and may still live.
+/// Remembers what backend servers reported whose entry vanished from the registry, since they may still be
+/// running.
 ///
-/// Decides what is remembered and for how long. Inputs: the state of a backend server whose entry has gone,
-/// later the entry that comes under its id; the time.
+/// Decides what is remembered and for how long. Inputs: the state of a backend server whose entry vanished,
+/// and later the entry that appears under its id; the time.
 ///
-/// Rule: an entry also goes while the store is away, or when its backend server could not write it. When it
-/// comes back for the same life, a rest that is not over binds on, and so does the word that it leaves. A
-/// rest is forgotten with its end, the other after k_leaving_kept. Only those that said something are
-/// remembered, k_lost_backends of them at most; beyond that the one that would be forgotten first goes.
+/// Rule: an entry also vanishes while the store is unreachable, or when its backend server could not write
+/// it. When it reappears for the same incarnation, an unexpired rest is restored, and so is the report that
+/// the backend server is leaving. A rest is dropped when it ends, the report after k_leaving_kept. Only
+/// backend servers that reported either are remembered, at most k_lost_backends; beyond that the one that
+/// expires first is evicted.
 ///
-/// Relies on backend_registry to hand in both.
+/// Relies on backend_registry to pass in vanished and reappearing backend servers.
 #pragma once
 
 #include "steering/backend_state_p.h"
@@ -22,19 +24,19 @@
 
 namespace larkrack
 {
-/// Time for which a backend server without an entry may live on after it said that it leaves. Longer: memory.
-/// Shorter: one whose entry comes back late gets requests again.
+/// Time for which a backend server without an entry may keep running after it reported that it is leaving.
+/// Longer: more memory. Shorter: a backend server whose entry reappears late gets requests again.
 constexpr std::chrono::minutes k_leaving_kept{10};
-/// Backend servers that are remembered, some 200 bytes each.
+/// Maximum number of backend servers that are remembered, about 200 bytes each.
 constexpr std::size_t k_lost_backends = 4096;
 
 /// Backend servers without an entry.
 class lost_backends
 {
 public:
-	/// Remembers what a backend server said, if it binds still.
+	/// Remembers what a backend server reported, if it is still in force.
 	void keep(const backend_state& _backend, steady_time _now);
-	/// Gives back what was said by the life of a backend server whose entry has come.
+	/// Restores what the same incarnation of a backend server reported before its entry vanished.
 	void restore(backend_state& _backend, steady_time _now);
 
 private:
@@ -47,10 +49,10 @@
 	};
 	using by_time = std::multimap<steady_time, backend_id>;
 
-	void forget_older(steady_time _now);
+	void forget_expired(steady_time _now);
 	void forget(const backend_id& _id);
 
 	std::unordered_map<backend_id, lost> m_lost;
-	by_time m_by_time; ///< When each is forgotten.
+	by_time m_by_time; ///< Entries by expiry time.
 };
 } // namespace larkrack
--- a/src/steering/names_p.h
+++ b/src/steering/names_p.h
@@ -2,7 +2,8 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Strong types for the ids that decisions are about, so that a region is never taken for a service.
+/// Strong types for the identifiers used in steering decisions, so that a region can not be mistaken for a
+/// service.
 #pragma once
 
 #include <functional>
@@ -11,8 +12,8 @@
 
 namespace larkrack
 {
-/// An id that is a text. The tag makes ids of different things different types. Order and hash are those of
-/// the text.
+/// A textual identifier. The tag makes identifiers of different kinds different types. Ordering and hash are
+/// those of the text.
 template <typename Tag>
 struct text_id
 {
@@ -46,10 +47,10 @@
 };
 
 using region_name = text_id<struct region_name_tag>;
-using domain_name = text_id<struct domain_name_tag>; ///< Failure domain.
+using domain_name = text_id<struct domain_name_tag>; ///< Name of a failure domain.
 using service_name = text_id<struct service_name_tag>;
 using node_name = text_id<struct node_name_tag>;
-using backend_id = text_id<struct backend_id_tag>; ///< Of one life of a backend server.
+using backend_id = text_id<struct backend_id_tag>; ///< Id of one incarnation of a backend server.
 using request_id = text_id<struct request_id_tag>;
 } // namespace larkrack
 
--- a/src/steering/news_spread.cpp
+++ b/src/steering/news_spread.cpp
@@ -11,9 +11,9 @@
 {
 namespace
 {
-/// Datagrams (1.2 KB each) up to which changes are told. More: readers' links are full when much changes at
-/// once (36 nodes told by a link of 20 Mbit/s: 17 ms a datagram). Fewer: nodes ask for what could be told, a
-/// round trip and 60 ms later. Not measured alone.
+/// Maximum number of datagrams (1.2 KB each) in which changes are sent. Higher values: readers' links are
+/// saturated when many keys change at once (36 nodes over a link of 20 Mbit/s: 17 ms per datagram). Lower
+/// values: nodes request what could have been sent, a round trip and 60 ms later.
 constexpr std::size_t k_told_datagrams = 6;
 } // namespace
 
@@ -30,27 +30,28 @@
 	{
 		return _live;
 	}
-	// Which node tells on differs by reader, so that a dead one does not keep all readers' news.
-	const std::uint64_t draw = rendezvous_weight(_self.node.text, 0);
-	std::vector<const node_heartbeat*> told;
-	std::map<domain_name, const node_heartbeat*> telling_on;
+	// The choice of forwarding nodes differs by reader, so that a dead node does not suppress the changes of
+	// all readers.
+	const std::uint64_t seed = rendezvous_weight(_self.node.text, 0);
+	std::vector<const node_heartbeat*> recipients;
+	std::map<domain_name, const node_heartbeat*> forwarders;
 	for (const node_heartbeat* node : _live)
 	{
 		if (node->domain == _self.domain)
 		{
-			told.push_back(node);
+			recipients.push_back(node);
 			continue;
 		}
-		const node_heartbeat*& best = telling_on[node->domain];
-		const bool better = nullptr == best || rendezvous_weight(node->node.text, draw) >
-		                                           rendezvous_weight(best->node.text, draw);
-		best = better ? node : best;
+		const node_heartbeat*& best = forwarders[node->domain];
+		const bool ranks_higher = nullptr == best || rendezvous_weight(node->node.text, seed) >
+		                                                 rendezvous_weight(best->node.text, seed);
+		best = ranks_higher ? node : best;
 	}
-	for (const auto& [domain, node] : telling_on)
+	for (const auto& [domain, node] : forwarders)
 	{
-		told.push_back(node);
+		recipients.push_back(node);
 	}
-	return told;
+	return recipients;
 }
 
 bool tells_on(const node_heartbeat& _self, const node_heartbeat* _sender, bool _large_fleet)
--- a/src/steering/node_liveness.cpp
+++ b/src/steering/node_liveness.cpp
@@ -11,56 +11,59 @@
 {
 namespace
 {
-/// Milliseconds between two heartbeats in a small fleet. Longer: what others have in flight is older, and
-/// dead nodes are named longer. Shorter: more datagrams. 200 ms buys 0.003 of worth
-/// with 12 nodes and costs 0.006 with 9 nodes and three slots each (docs/DECISIONS.md).
+/// Milliseconds between two heartbeats in a small fleet. Longer: in-flight counts of other nodes are older,
+/// and dead nodes are listed for longer. Shorter: more datagrams. 200 ms gains 0.003 of worth with 12 nodes
+/// and costs 0.006 with 9 nodes and three slots each (docs/DECISIONS.md).
 constexpr std::chrono::milliseconds k_interval{100};
-/// Milliseconds of the interval for each other node that hears at it: a node hears 83 heartbeats a second at
-/// most from its failure domain, and 33 from the others. Longer: older news. Shorter: more processor
-/// time of each node and, beyond the failure domain, bytes. Not measured alone.
+/// Milliseconds that each other node that receives heartbeats at this interval adds to it: a node receives at
+/// most 83 heartbeats per second from its failure domain, and 33 from the others. Longer: older state.
+/// Shorter: more processor time of each node and, beyond the failure domain, more bytes.
 constexpr std::chrono::milliseconds k_interval_per_node{12};
-/// Heartbeats to nodes of the region of which a far node gets one. More: a far node's death is seen later.
-/// Fewer: more bytes between regions; with one of one, heartbeats were half of all bytes between regions of
-/// 12 nodes.
+/// A node of another region gets one of this many heartbeats that a node of the same region gets. Higher
+/// values: the death of a far node is detected later. Lower values: more bytes between regions; with 1,
+/// heartbeats were half of all bytes between regions of 12 nodes.
 constexpr int k_far_rounds = 4;
-/// Of this many turns of all nodes, one tells the addresses of other nodes; so each node hears them. More:
-/// nodes find each other later. Fewer: more bytes (a third of a heartbeat of 12 nodes, a half of 65 nodes). A
-/// node's first heartbeats tell them always.
+/// Of this many heartbeat cycles over all nodes, one includes the addresses of other nodes, so that each node
+/// receives them. Higher values: nodes discover each other later. Lower values: more bytes (a third of a
+/// heartbeat of 12 nodes, half of a heartbeat of 65 nodes). The first heartbeats of a node always include
+/// addresses.
 constexpr int k_address_turns = 4;
-/// The same where failure domains tell of themselves by digests: one of so many heartbeats.
+/// One of this many heartbeats includes addresses if failure domains report by digests.
 constexpr std::uint64_t k_address_heartbeats = 16;
-/// Heartbeats to other failure domains in place of which one is sent by nodes whose failure domain sends
-/// digests. More: a split that has healed is seen later where no digest crosses it. Fewer: more bytes.
+/// Factor by which heartbeats to other failure domains are less frequent if the sender's failure domain sends
+/// digests. Higher values: the end of a network partition is detected later where no digest crosses it. Lower
+/// values: more bytes.
 constexpr int k_rare = 4;
-/// Heartbeats in a row to an address of which nothing was heard; then it gets them at the turn of a node of
-/// the region. More: datagrams to nodes that are gone. Fewer: nodes that start together find each other
-/// later. Not measured.
+/// Consecutive heartbeats to an address without any reply; after that the address gets heartbeats as often as
+/// a node of the region. Higher values: more datagrams to nodes that are gone. Lower values: nodes that start
+/// together discover each other later.
 constexpr int k_often_tried = 8;
-/// A new node is introduced when it knows less than one of so many addresses that this node could tell.
-/// Higher: nodes that know few others are left alone. Lower: nodes that start together answer each other at
-/// length. Not measured.
+/// A new node is introduced if it knows less than one of this many addresses that this node could report.
+/// Higher values: nodes that know few others are not introduced. Lower values: nodes that start together
+/// exchange long replies.
 constexpr std::size_t k_introduction_part = 2;
-/// Intervals of silence after which a node counts as dead. More: look-ups name it longer. Fewer: a few lost
-/// datagrams take a live node out. Not measured.
+/// Heartbeat intervals without a sign of life after which a node counts as dead. Higher values: lookups list
+/// it for longer. Lower values: a few lost datagrams remove a live node.
 constexpr int k_silent_heartbeats = 5;
-/// Mean intervals between two news of a node that may pass without any. More: a dead node is named longer.
-/// Fewer: a live one is taken out, since news of many tellers come at random: the part of the intervals that
-/// last k times the mean is e^-k. With 3 and half of the neighbours told, 178 of 86,000 pairs of 295 nodes
-/// had a live node as dead at a time, at 5% of datagrams lost.
+/// Mean intervals between two neighbour reports of a node that may pass without any. Higher values: a dead
+/// node is listed for longer. Lower values: a live node is removed, since reports of many nodes arrive at
+/// random times: the fraction of intervals longer than k times the mean is e^-k. With 3 and half of the
+/// neighbours reported, 178 of 86,000 pairs of 295 nodes had a live node as dead at a time, with 5% of
+/// datagrams lost.
 constexpr int k_missed_tellings = 10;
-/// Half intervals without a sign after which a node of a large failure domain counts as dead: a heartbeat
-/// that is lost is made up for by the news of others, 24 a second of each node with 110 of them. More: a dead
-/// one is named longer. Fewer: one that stands still for a moment is taken out. Not measured alone.
+/// Timeout of a node in a large failure domain, in half heartbeat intervals: reports of other nodes, 24 per
+/// second for each node with 110 of them, make up for a lost heartbeat. Higher values: a dead node is listed
+/// for longer. Lower values: a node that stalls for a moment is removed.
 constexpr int k_news_intervals_in_2 = 5;
-/// Nodes of the failure domain that one heartbeat tells of. More: larger datagrams (7 bytes each). Fewer:
-/// deaths are seen later. All of a failure domain of 33 are told.
+/// Maximum number of nodes of the failure domain that one heartbeat reports. Higher values: larger datagrams
+/// (7 bytes each). Lower values: deaths are detected later. All nodes of a failure domain of 33 are reported.
 constexpr std::size_t k_told_neighbours = 32;
-/// Milliseconds of silence that a live node may always have. Longer: look-ups name a dead node longer.
-/// Shorter: a node whose processor is taken away for a moment counts as dead. Not measured.
+/// Minimum timeout of a node, milliseconds. Longer: lookups list a dead node for longer. Shorter: a node that
+/// gets no processor time for a moment counts as dead.
 constexpr std::chrono::milliseconds k_silent{900};
-/// Seconds of silence after which a node is forgotten. Longer: nodes that were replaced stay in the table,
-/// and make the interval longer. Shorter: a node that is cut off for a while must be found anew. Not
-/// measured.
+/// Seconds without a sign of life after which a node is removed from the table. Longer: nodes that were
+/// replaced stay in the table and lengthen the interval. Shorter: a node that is partitioned for a while must
+/// be discovered again.
 constexpr std::chrono::seconds k_forgotten{60};
 
 std::chrono::milliseconds interval_for(std::size_t _other_nodes)
@@ -68,11 +71,11 @@
 	return std::max(k_interval, k_interval_per_node * static_cast<int>(_other_nodes));
 }
 
-/// @returns Longest silence in a large failure domain, whose nodes tell each other of each other.
-std::chrono::milliseconds silence_with_news(std::size_t _other_nodes)
+/// @returns Timeout in a large failure domain, whose nodes report each other's state.
+std::chrono::milliseconds neighbour_report_timeout(std::size_t _other_nodes)
 {
-	const std::chrono::milliseconds silence = interval_for(_other_nodes) * k_news_intervals_in_2 / 2;
-	return std::max(k_silent, silence);
+	const std::chrono::milliseconds timeout = interval_for(_other_nodes) * k_news_intervals_in_2 / 2;
+	return std::max(k_silent, timeout);
 }
 } // namespace
 
@@ -92,25 +95,25 @@
 
 int node_liveness::rounds(proximity _where) const
 {
-	const int rare = tells_by_digests() ? k_rare : 1;
-	const int in_region = rare * static_cast<int>(interval_for(m_other_nodes) / interval());
+	const int digest_factor = tells_by_digests() ? k_rare : 1;
+	const int region_divisor = digest_factor * static_cast<int>(interval_for(m_other_nodes) / interval());
 	switch (_where)
 	{
 	case proximity::domain:
 		return 1;
 	case proximity::region:
-		return in_region;
+		return region_divisor;
 	case proximity::far:
 		break;
 	}
-	return k_far_rounds * in_region;
+	return k_far_rounds * region_divisor;
 }
 
 bool node_liveness::is_turn(
     const node_name& _sender, const node_name& _node, std::uint64_t _sequence, proximity _where) const
 {
-	const std::uint64_t own = rendezvous_weight(_node.text, rendezvous_weight(_sender.text, 0));
-	return 0 == (own + _sequence) % static_cast<unsigned>(rounds(_where));
+	const std::uint64_t offset = rendezvous_weight(_node.text, rendezvous_weight(_sender.text, 0));
+	return 0 == (offset + _sequence) % static_cast<unsigned>(rounds(_where));
 }
 
 std::size_t node_liveness::told_neighbours(std::size_t _known)
@@ -124,8 +127,8 @@
 	{
 		return 0 == _sequence % k_address_heartbeats;
 	}
-	const std::uint64_t turn_of_all = _sequence / static_cast<unsigned>(rounds(proximity::far));
-	return 0 == turn_of_all % k_address_turns;
+	const std::uint64_t cycle = _sequence / static_cast<unsigned>(rounds(proximity::far));
+	return 0 == cycle % k_address_turns;
 }
 
 std::chrono::milliseconds node_liveness::longest_own_silence(proximity _where) const
@@ -133,26 +136,26 @@
 	return std::max<std::chrono::milliseconds>(k_silent, k_silent_heartbeats * rounds(_where) * interval());
 }
 
-std::chrono::milliseconds node_liveness::longest_silence(proximity _where, std::size_t _tellers) const
+std::chrono::milliseconds node_liveness::longest_silence(proximity _where, std::size_t _domain_peers) const
 {
-	const std::chrono::milliseconds own = longest_own_silence(_where);
-	const std::chrono::milliseconds at_tellers =
-	    std::max<std::chrono::milliseconds>(k_silent, k_silent_heartbeats * interval_for(_tellers));
+	const std::chrono::milliseconds own_timeout = longest_own_silence(_where);
+	const std::chrono::milliseconds domain_timeout =
+	    std::max<std::chrono::milliseconds>(k_silent, k_silent_heartbeats * interval_for(_domain_peers));
 	if (proximity::domain == _where && tells_by_digests())
 	{
-		return silence_with_news(m_in_domain);
+		return neighbour_report_timeout(m_in_domain);
 	}
-	if (proximity::domain != _where && uses_digests(_tellers + 1))
+	if (proximity::domain != _where && uses_digests(_domain_peers + 1))
 	{
-		return silence_with_news(_tellers) + digest_silence(_where);
+		return neighbour_report_timeout(_domain_peers) + digest_silence(_where);
 	}
-	if (proximity::domain == _where || !tells_neighbours() || 0 == _tellers)
+	if (proximity::domain == _where || !tells_neighbours() || 0 == _domain_peers)
 	{
-		return own;
+		return own_timeout;
 	}
-	const std::chrono::milliseconds between_tellings =
-	    rounds(_where) * interval() / static_cast<int>(told_neighbours(_tellers));
-	return std::min(own, at_tellers + k_missed_tellings * between_tellings);
+	const std::chrono::milliseconds report_interval =
+	    rounds(_where) * interval() / static_cast<int>(told_neighbours(_domain_peers));
+	return std::min(own_timeout, domain_timeout + k_missed_tellings * report_interval);
 }
 
 bool node_liveness::is_tried_often(int _tries)
--- a/src/steering/node_ring.cpp
+++ b/src/steering/node_ring.cpp
@@ -33,19 +33,19 @@
 	    });
 }
 
-ring_owners node_ring::owners_of(std::uint64_t _thing) const
+ring_owners node_ring::owners_of(std::uint64_t _item) const
 {
-	const auto begin = std::lower_bound(m_points.begin(), m_points.end(), _thing,
+	const auto begin = std::lower_bound(m_points.begin(), m_points.end(), _item,
 	    [](const point& _point, std::uint64_t _place)
 	    {
 		    return _point.place < _place;
 	    });
-	std::size_t at = m_points.end() == begin ? 0 : static_cast<std::size_t>(begin - m_points.begin());
-	ring_owners owners{m_points[at].node, m_points[at].node};
-	for (std::size_t passed = 0; passed < m_points.size() && owners.stand_in == owners.first; ++passed)
+	std::size_t next_index = m_points.end() == begin ? 0 : static_cast<std::size_t>(begin - m_points.begin());
+	ring_owners owners{m_points[next_index].node, m_points[next_index].node};
+	for (std::size_t visited = 0; visited < m_points.size() && owners.stand_in == owners.first; ++visited)
 	{
-		at = (at + 1) % m_points.size();
-		owners.stand_in = m_points[at].node;
+		next_index = (next_index + 1) % m_points.size();
+		owners.stand_in = m_points[next_index].node;
 	}
 	return owners;
 }
--- a/src/steering/outlier_ejection.cpp
+++ b/src/steering/outlier_ejection.cpp
@@ -10,15 +10,15 @@
 namespace
 {
 /// Milliseconds of the first ejection. Longer: a backend server that had one short fault stays unused.
-/// Shorter: each try at one that is down costs a request its time to connect. Not measured.
+/// Shorter: each attempt at an unreachable backend server costs a request its connect time.
 constexpr std::chrono::milliseconds k_ejection_first{300};
-/// Milliseconds of the longest ejection. Longer: one that is well again is found late. Shorter: a dead one is
-/// tried more often. Not measured.
+/// Maximum length of an ejection, milliseconds. Longer: a backend server that has recovered is detected late.
+/// Shorter: a dead backend server is tried more often.
 constexpr std::chrono::milliseconds k_ejection_longest{3000};
-/// Doublings of the first ejection, at most; beyond them the bound above holds anyway. Not measured.
+/// Maximum number of doublings of the first ejection; beyond that the maximum above applies anyway.
 constexpr int k_ejection_doublings = 4;
-/// Lost answers in a row that eject. One alone may be the fault of one connection; more lose more requests
-/// before they eject. Not measured.
+/// Consecutive lost responses that eject. A single one may be the fault of one connection; with a higher
+/// value more requests are lost before an ejection.
 constexpr int k_lost_answers = 3;
 } // namespace
 
@@ -36,12 +36,12 @@
 	++m_failures;
 	if (backend_signal::lost == _signal && m_failures < k_lost_answers)
 	{
-		return {ejection_reason::few_lost, {}};
+		return {ejection_reason::too_few_lost, {}};
 	}
 	const int doublings = std::min(m_failures - 1, k_ejection_doublings);
 	const auto time = std::min(k_ejection_longest, k_ejection_first * (1 << doublings));
 	m_ejected_until = _now + time;
 	const bool lost = backend_signal::lost == _signal;
-	return {lost ? ejection_reason::lost_answers : ejection_reason::unreachable, time};
+	return {lost ? ejection_reason::lost_responses : ejection_reason::unreachable, time};
 }
 } // namespace larkrack
--- a/src/steering/outlier_ejection_p.h
+++ b/src/steering/outlier_ejection_p.h
@@ -6,55 +6,57 @@
 ///
 /// Inputs: how each exchange of this node with the backend server ended; the time (steady clock).
 ///
-/// Rule (passive outlier ejection): a connection that can not be had ejects at once, lost answers after
-/// three in a row. The time doubles with each further failure in a row, up to a bound; the backend server
-/// returns by itself when it is over, and the next answer sets the count to zero. A refusal for want of a
-/// slot is no failure, and neither is a rest, which runs beside an ejection: the longer of the two holds.
+/// Rule (passive outlier ejection): a failed connection ejects at once, lost responses after three in a row.
+/// The ejection time doubles with each further consecutive failure, up to a maximum; the backend server
+/// returns when the time is over, and the next response resets the count. A refusal because of no free slot
+/// is not a failure, and neither is a rest, which runs independently of an ejection: the longer of the two
+/// holds.
 ///
-/// Why not another way:
-/// - active health checks: each takes a slot, and answers, refusals and lost connections tell more
-///   (docs/DESIGN.md, "Known limits"); not measured;
-/// - ejection by the share of failed answers: not measured. A backend server that fails a part of its
-///   requests is met by retries alone.
+/// Alternatives considered:
+/// - active health checks: each occupies a slot, and responses, refusals and lost connections are more
+///   informative (docs/DESIGN.md, "Known limits");
+/// - ejection by the fraction of failed responses: a backend server that fails a fraction of its requests is
+///   handled by retries alone.
 ///
-/// Relies on: each exchange telling its end once. Each node decides for itself; nothing is told to others.
+/// Relies on each exchange reporting its end once. Each node decides on its own; nothing is sent to other
+/// nodes.
 #pragma once
 
 #include "base/clock_p.h"
 
 namespace larkrack
 {
-/// How an exchange with a backend server ended, as far as its health is concerned.
+/// How an exchange with a backend server ended, with regard to its health.
 enum class backend_signal
 {
-	answered,    ///< It answered.
-	refused,     ///< It said that it did not run the request.
-	not_tried,   ///< Nothing was sent to it, since it wants nothing.
-	unreachable, ///< No connection could be had, or another backend server has the address.
-	lost,        ///< The connection broke, or the answer did.
+	answered,    ///< It responded.
+	refused,     ///< It reported that it did not run the request.
+	not_tried,   ///< Nothing was sent, since it accepts no requests.
+	unreachable, ///< No connection was established, or another backend server has the address.
+	lost,        ///< The connection broke, or the response was incomplete.
 };
 
-/// Why a backend server is ejected, or not.
+/// Why a backend server is ejected or not.
 enum class ejection_reason
 {
-	healthy,      ///< Not ejected: it answered or refused.
-	few_lost,     ///< Not ejected: too few lost answers in a row.
-	unreachable,  ///< Ejected: no connection.
-	lost_answers, ///< Ejected: lost answers in a row.
+	healthy,        ///< Not ejected: it responded or refused.
+	too_few_lost,   ///< Not ejected: too few consecutive lost responses.
+	unreachable,    ///< Ejected: no connection.
+	lost_responses, ///< Ejected: consecutive lost responses.
 };
 
-/// What follows from the end of one exchange.
+/// Result of recording the end of one exchange.
 struct ejection_decision
 {
 	ejection_reason reason = ejection_reason::healthy;
-	std::chrono::milliseconds time{0}; ///< For which it gets no new requests; 0: not ejected.
+	std::chrono::milliseconds time{0}; ///< Time without new requests; 0: not ejected.
 };
 
-/// Health of one backend server as this node's exchanges show it.
+/// Health of one backend server, as seen by the exchanges of this node.
 class outlier_ejection
 {
 public:
-	/// Takes the end of an exchange.
+	/// Records the end of an exchange.
 	ejection_decision on_exchange_end(backend_signal _signal, steady_time _now);
 	/// @returns Whether it gets no new requests now.
 	bool ejected(steady_time _now) const
@@ -64,6 +66,6 @@
 
 private:
 	steady_time m_ejected_until{};
-	int m_failures = 0; ///< In a row.
+	int m_failures = 0; ///< Consecutive failures.
 };
 } // namespace larkrack
--- a/tests/steering_backend_state_test.cpp
+++ b/tests/steering_backend_state_test.cpp
@@ -1,6 +1,10 @@
 // Copyright 2026 the larkrack developers. All rights reserved.
 // License: BSD 2-Clause, see LICENSE.
 
+/// @file
+/// Load estimate, outlier ejection and availability of one backend server, and the hashes that all nodes
+/// share.
+
 #include "fixtures.h"
 
 #include "steering/backend_state_p.h"
@@ -11,11 +15,11 @@
 class load_estimate_test : public CppUnit::TestFixture
 {
 	CPPUNIT_TEST_SUITE(load_estimate_test);
-	CPPUNIT_TEST(requests_without_a_report_sum_up_own_and_told);
-	CPPUNIT_TEST(requests_fresh_report_replaces_what_nodes_told);
-	CPPUNIT_TEST(requests_report_older_than_a_heartbeat_is_passed_over);
-	CPPUNIT_TEST(requests_after_a_refusal_others_hold_all_slots);
-	CPPUNIT_TEST(requests_report_below_the_own_count_leaves_none_to_others);
+	CPPUNIT_TEST(requests_without_a_report_sum_up_own_and_heartbeat_counts);
+	CPPUNIT_TEST(requests_fresh_report_replaces_heartbeat_counts);
+	CPPUNIT_TEST(requests_report_older_than_a_heartbeat_is_ignored);
+	CPPUNIT_TEST(requests_after_a_refusal_other_nodes_use_all_slots);
+	CPPUNIT_TEST(requests_report_below_the_own_count_assigns_none_to_other_nodes);
 	CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -27,32 +31,32 @@
 	}
 
 protected:
-	void requests_without_a_report_sum_up_own_and_told()
+	void requests_without_a_report_sum_up_own_and_heartbeat_counts()
 	{
 		CPPUNIT_ASSERT_DOUBLES_EQUAL(7.0, m_load.requests(m_now), 1e-9);
 	}
 
-	void requests_fresh_report_replaces_what_nodes_told()
+	void requests_fresh_report_replaces_heartbeat_counts()
 	{
 		m_load.on_report({3, 1, 3}, m_now);
 		CPPUNIT_ASSERT_DOUBLES_EQUAL(4.0, m_load.requests(m_now), 1e-9);
-		++m_load.in_flight; // Sent since: the report does not know of it.
+		++m_load.in_flight; // Sent after the report, which does not include it.
 		CPPUNIT_ASSERT_DOUBLES_EQUAL(5.0, m_load.requests(m_now + std::chrono::milliseconds(100)), 1e-9);
 	}
 
-	void requests_report_older_than_a_heartbeat_is_passed_over()
+	void requests_report_older_than_a_heartbeat_is_ignored()
 	{
 		m_load.on_report({3, 1, 3}, m_now);
 		CPPUNIT_ASSERT_DOUBLES_EQUAL(7.0, m_load.requests(m_now + std::chrono::milliseconds(101)), 1e-9);
 	}
 
-	void requests_after_a_refusal_others_hold_all_slots()
+	void requests_after_a_refusal_other_nodes_use_all_slots()
 	{
 		m_load.on_refused(4, m_now);
 		CPPUNIT_ASSERT_DOUBLES_EQUAL(6.0, m_load.requests(m_now), 1e-9);
 	}
 
-	void requests_report_below_the_own_count_leaves_none_to_others()
+	void requests_report_below_the_own_count_assigns_none_to_other_nodes()
 	{
 		m_load.on_report({1, 0, 3}, m_now);
 		CPPUNIT_ASSERT_DOUBLES_EQUAL(2.0, m_load.requests(m_now), 1e-9);
@@ -65,11 +69,11 @@
 class outlier_ejection_test : public CppUnit::TestFixture
 {
 	CPPUNIT_TEST_SUITE(outlier_ejection_test);
-	CPPUNIT_TEST(lost_answers_eject_with_the_third_in_a_row);
-	CPPUNIT_TEST(lost_answers_with_one_served_between_do_not_eject);
+	CPPUNIT_TEST(lost_responses_eject_with_the_third_in_a_row);
+	CPPUNIT_TEST(lost_responses_with_a_served_one_between_do_not_eject);
 	CPPUNIT_TEST(unreachable_ejects_at_once_and_returns_by_itself);
 	CPPUNIT_TEST(unreachable_again_doubles_the_time_up_to_the_bound);
-	CPPUNIT_TEST(refused_is_no_failure);
+	CPPUNIT_TEST(refused_is_not_a_failure);
 	CPPUNIT_TEST(state_draining_gone_or_evacuated_accepts_nothing);
 	CPPUNIT_TEST_SUITE_END();
 
@@ -85,18 +89,18 @@
 		return m_ejection.on_exchange_end(_signal, m_now);
 	}
 
-	void lost_answers_eject_with_the_third_in_a_row()
+	void lost_responses_eject_with_the_third_in_a_row()
 	{
-		CPPUNIT_ASSERT(ejection_reason::few_lost == end(backend_signal::lost).reason);
-		CPPUNIT_ASSERT(ejection_reason::few_lost == end(backend_signal::lost).reason);
+		CPPUNIT_ASSERT(ejection_reason::too_few_lost == end(backend_signal::lost).reason);
+		CPPUNIT_ASSERT(ejection_reason::too_few_lost == end(backend_signal::lost).reason);
 		CPPUNIT_ASSERT(!m_ejection.ejected(m_now));
 		const ejection_decision third = end(backend_signal::lost);
-		CPPUNIT_ASSERT(ejection_reason::lost_answers == third.reason);
+		CPPUNIT_ASSERT(ejection_reason::lost_responses == third.reason);
 		CPPUNIT_ASSERT(std::chrono::milliseconds(1200) == third.time);
 		CPPUNIT_ASSERT(m_ejection.ejected(m_now));
 	}
 
-	void lost_answers_with_one_served_between_do_not_eject()
+	void lost_responses_with_a_served_one_between_do_not_eject()
 	{
 		end(backend_signal::lost);
 		end(backend_signal::lost);
@@ -122,7 +126,7 @@
 		}
 	}
 
-	void refused_is_no_failure()
+	void refused_is_not_a_failure()
 	{
 		for (int i = 0; i < 10; ++i)
 		{
@@ -149,16 +153,16 @@
 	steady_time m_now{std::chrono::hours(1)};
 };
 
-/// Nodes of two versions run side by side during a rollout: they must agree on hashes.
+/// Nodes of two versions run side by side during a rollout and must compute the same hashes.
 class rendezvous_test : public CppUnit::TestFixture
 {
 	CPPUNIT_TEST_SUITE(rendezvous_test);
-	CPPUNIT_TEST(hashes_are_those_of_every_earlier_version);
+	CPPUNIT_TEST(hashes_are_the_same_as_in_all_earlier_versions);
 	CPPUNIT_TEST(unit_interval_covers_0_up_to_1);
 	CPPUNIT_TEST_SUITE_END();
 
 protected:
-	void hashes_are_those_of_every_earlier_version()
+	void hashes_are_the_same_as_in_all_earlier_versions()
 	{
 		CPPUNIT_ASSERT_EQUAL(std::uint64_t(5894824055016522919U), rendezvous_weight("n1", 0));
 		CPPUNIT_ASSERT_EQUAL(std::uint64_t(4917339357091533198U), rendezvous_weight("n1", 7));
--- a/tests/steering_entry_removal_test.cpp
+++ b/tests/steering_entry_removal_test.cpp
@@ -1,6 +1,9 @@
 // Copyright 2026 the larkrack developers. All rights reserved.
 // License: BSD 2-Clause, see LICENSE.
 
+/// @file
+/// Removal of registry entries that vanished, with and without a store outage.
+
 #include "fixtures.h"
 
 #include "steering/entry_removal_p.h"
@@ -10,14 +13,14 @@
 class entry_removal_test : public CppUnit::TestFixture
 {
 	CPPUNIT_TEST_SUITE(entry_removal_test);
-	CPPUNIT_TEST(vanished_without_an_outage_goes_after_half_a_second);
-	CPPUNIT_TEST(vanished_during_an_outage_stays_six_seconds_at_most);
-	CPPUNIT_TEST(vanished_during_an_outage_goes_two_seconds_behind_its_end);
-	CPPUNIT_TEST(vanished_during_a_long_outage_is_not_kept_longer_by_its_end);
-	CPPUNIT_TEST(vanished_long_after_an_outage_goes_after_half_a_second);
-	CPPUNIT_TEST(vanished_before_an_outage_goes_after_half_a_second);
+	CPPUNIT_TEST(vanished_without_an_outage_is_removed_after_half_a_second);
+	CPPUNIT_TEST(vanished_during_an_outage_is_kept_at_most_six_seconds);
+	CPPUNIT_TEST(vanished_during_an_outage_is_removed_two_seconds_after_its_end);
+	CPPUNIT_TEST(vanished_during_a_long_outage_is_not_kept_longer_after_its_end);
+	CPPUNIT_TEST(vanished_long_after_an_outage_is_removed_after_half_a_second);
+	CPPUNIT_TEST(vanished_before_an_outage_is_removed_after_half_a_second);
 	CPPUNIT_TEST(outage_shorter_than_a_second_changes_nothing);
-	CPPUNIT_TEST(outage_told_twice_begins_with_the_first_failure);
+	CPPUNIT_TEST(outage_reported_twice_starts_with_the_first_failure);
 	CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -39,39 +42,39 @@
 		CPPUNIT_ASSERT_EQUAL(to_us(at(_due_ms)), to_us(decision.due));
 	}
 
-	void vanished_without_an_outage_goes_after_half_a_second()
+	void vanished_without_an_outage_is_removed_after_half_a_second()
 	{
 		expect(removal_reason::vanished, 500, 0);
 	}
 
-	void vanished_during_an_outage_stays_six_seconds_at_most()
+	void vanished_during_an_outage_is_kept_at_most_six_seconds()
 	{
 		m_removal.on_store_lost(at(0));
-		expect(removal_reason::store_away, 7000, 1000);
+		expect(removal_reason::store_unreachable, 7000, 1000);
 	}
 
-	void vanished_during_an_outage_goes_two_seconds_behind_its_end()
+	void vanished_during_an_outage_is_removed_two_seconds_after_its_end()
 	{
 		m_removal.on_store_lost(at(0));
 		m_removal.on_store_regained(at(3000));
-		expect(removal_reason::store_returned, 5000, 2500);
+		expect(removal_reason::store_recovered, 5000, 2500);
 	}
 
-	void vanished_during_a_long_outage_is_not_kept_longer_by_its_end()
+	void vanished_during_a_long_outage_is_not_kept_longer_after_its_end()
 	{
 		m_removal.on_store_lost(at(0));
 		m_removal.on_store_regained(at(60000));
-		expect(removal_reason::store_returned, 7000, 1000);
+		expect(removal_reason::store_recovered, 7000, 1000);
 	}
 
-	void vanished_long_after_an_outage_goes_after_half_a_second()
+	void vanished_long_after_an_outage_is_removed_after_half_a_second()
 	{
 		m_removal.on_store_lost(at(0));
 		m_removal.on_store_regained(at(3000));
 		expect(removal_reason::vanished, 9500, 9000);
 	}
 
-	void vanished_before_an_outage_goes_after_half_a_second()
+	void vanished_before_an_outage_is_removed_after_half_a_second()
 	{
 		m_removal.on_store_lost(at(100));
 		expect(removal_reason::vanished, 500, 0);
@@ -84,13 +87,13 @@
 		expect(removal_reason::vanished, 1500, 1000);
 	}
 
-	void outage_told_twice_begins_with_the_first_failure()
+	void outage_reported_twice_starts_with_the_first_failure()
 	{
 		m_removal.on_store_lost(at(0));
 		m_removal.on_store_lost(at(900));
 		m_removal.on_store_regained(at(1500));
 		m_removal.on_store_regained(at(9000));
-		expect(removal_reason::store_returned, 3500, 1000);
+		expect(removal_reason::store_recovered, 3500, 1000);
 	}
 
 	entry_removal m_removal;
