--- a/tests/backend_limit_test.cpp
+++ b/tests/backend_limit_test.cpp
@@ -2,15 +2,15 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// A backend server that names how many requests a second it takes from all nodes together, and the nodes
-/// that have passed its answers on.
+/// Regression test: a backend server reports the maximum request rate that it accepts from all nodes
+/// together, in responses that all nodes have forwarded.
 ///
-/// The incident: eight seconds into a day two backend servers of an account service named limits of 2.9 and 5
-/// a second. Four seconds later they were still sent 51 and 114 requests in 4 s, as before, by nodes that had
-/// passed their answers on; 22 and 35 were allowed. No node refused anything, and no alert rose. The cause:
-/// nodes passed over the header in which a limit is named, and no budget held over nodes for one backend
-/// server. Proved by the rates, which did not move when the limits were named, and by this test, in which 104
-/// came where 22 are allowed, although all nodes had read the header.
+/// The failure: eight seconds into a day two backend servers of an account service reported limits of 2.9 and
+/// 5 requests per second. Four seconds later nodes that had forwarded the reports still sent them 51 and 114
+/// requests in 4 s, as before; 22 and 35 were allowed. No request was refused and no alert was raised. The
+/// cause: nodes ignored the header that reports a limit, and no budget for one backend server was shared by
+/// all nodes. The evidence: the request rates did not change when the limits were reported, and in this test
+/// 104 requests arrived where 22 are allowed, although all nodes had read the header.
 
 #include "node_group_fixture.h"
 
@@ -20,16 +20,16 @@
 {
 using ms = std::chrono::milliseconds;
 
-constexpr double k_named_per_s = 2.9;
+constexpr double k_limit_per_s = 2.9;
 constexpr ms k_window{4000};
-/// What a window may hold: one and a half times what the limit allows, and five requests.
-constexpr double k_allowed = 1.5 * k_named_per_s * 4.0 + 5.0;
-/// Until all nodes have passed on an answer that names the limit, and half a second more.
+/// Maximum number of requests in a window: one and a half times what the limit allows, and five more.
+constexpr double k_allowed = 1.5 * k_limit_per_s * 4.0 + 5.0;
+/// Time until all nodes have forwarded a response that reports the limit, and half a second more.
 constexpr ms k_until_known{1000};
 constexpr ms k_pause{22};
-constexpr std::size_t k_objects = 40; ///< Of which about half belong to each backend server.
+constexpr std::size_t k_affinity_keys = 40; ///< About half of them belong to each backend server.
 
-/// @returns The most requests that came within any window, from a moment on.
+/// @returns Maximum number of requests that arrived within any window that starts at _from or later.
 std::size_t most_in_window(const std::vector<steady_time>& _arrivals, steady_time _from)
 {
 	std::size_t most = 0;
@@ -45,11 +45,11 @@
 class backend_limit_test : public CppUnit::TestFixture
 {
 	CPPUNIT_TEST_SUITE(backend_limit_test);
-	CPPUNIT_TEST(nine_nodes_that_know_a_limit_send_no_more_than_it_allows);
+	CPPUNIT_TEST(nine_nodes_that_know_a_limit_send_at_most_what_it_allows);
 	CPPUNIT_TEST_SUITE_END();
 
 protected:
-	void nine_nodes_that_know_a_limit_send_no_more_than_it_allows()
+	void nine_nodes_that_know_a_limit_send_at_most_what_it_allows()
 	{
 		asio::io_context context(1);
 		const clock_system clock;
@@ -72,12 +72,12 @@
 			caller.send("GET /read/ HTTP/1.1\r\nHost: shop.example\r\nLarkrack-Request-Id: r" +
 			            std::to_string(sent) +
 			            "\r\nLarkrack-Deadline-Ms: 1500\r\nCookie: Larkrack-Affinity=" +
-			            std::to_string(sent % k_objects) + "\r\n\r\n");
+			            std::to_string(sent % k_affinity_keys) + "\r\n\r\n");
 			served += 200 == caller.receive().result_int() ? 1 : 0;
 			context.run_for(k_pause);
 			nodes.at(sent % k_group_nodes).tick();
 		}
-		CPPUNIT_ASSERT_EQUAL(sent, served); // The other backend server has room for all.
+		CPPUNIT_ASSERT_EQUAL(sent, served); // The other backend server has capacity for all requests.
 		const std::size_t most = most_in_window(limited.arrivals, began + k_until_known);
 		CPPUNIT_ASSERT_MESSAGE(std::to_string(most), static_cast<double>(most) <= k_allowed);
 		CPPUNIT_ASSERT(!limited.arrivals.empty());
--- a/tests/rest_model_test.cpp
+++ b/tests/rest_model_test.cpp
@@ -2,9 +2,10 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Rests over whole fleets on a virtual clock, in two ways: each node keeps to what it heard itself, and each
-/// word is told to all nodes. Requests come at the same rate for each backend server, however many nodes
-/// carry them; one that is turned away is sent to one other backend server.
+/// Simulates rests of backend servers in fleets of several sizes on a virtual clock, with two strategies:
+/// each node obeys only the rests that it was told itself, or each rest is sent to all nodes. The request
+/// rate for each backend server is the same whatever the number of nodes; a refused request is retried at one
+/// other backend server.
 
 #include "fixtures.h"
 
@@ -20,42 +21,44 @@
 using ms = std::chrono::milliseconds;
 
 constexpr std::size_t k_servers = 24;
-constexpr double k_per_s = 480.0; ///< Requests to all of them.
-constexpr ms k_played{20000};
-constexpr ms k_under_way{500}; ///< After a word, in which requests may still come.
+constexpr double k_per_s = 480.0; ///< Requests to all backend servers.
+constexpr ms k_simulated{20000};
+constexpr ms k_in_flight{500}; ///< Time after a refusal during which requests in flight may still arrive.
 constexpr std::size_t k_tries = 2;
-constexpr std::size_t k_told_bytes = 24; ///< A datagram with an id, a time and its head.
+constexpr std::size_t k_report_bytes = 24; ///< A datagram with an id, a time and its header.
 
-enum class rest_way
+enum class rest_strategy
 {
-	own_words,
-	told_to_all,
+	own_refusals,
+	sent_to_all,
 };
 
-/// What backend servers do.
-struct rest_play
+/// Behaviour of the backend servers.
+struct rest_scenario
 {
-	double turned_away = 0.0; ///< Part of its requests that each one turns away at random.
-	std::size_t resting = 0;  ///< Backend servers that turn all away for a time.
+	double refused = 0.0;    ///< Fraction of requests that each backend server refuses at random.
+	std::size_t resting = 0; ///< Number of backend servers that refuse all requests for a time.
 	ms from{2000};
 	ms until{11000};
-	ms asked{3000};
+	ms asked_for{3000};
 };
 
 struct rest_figures
 {
-	double turned_away = 0.0;     ///< Of all first sends, part.
-	double served = 0.0;          ///< Of all requests, part.
-	double out_of_use = 0.0;      ///< Of all pairs of a node and a backend server that serves, mean part.
-	std::size_t most_in_rest = 0; ///< Requests of a node to a backend server in what was left of a rest.
+	double refused = 0.0;  ///< Fraction of all first attempts.
+	double served = 0.0;   ///< Fraction of all requests.
+	double withheld = 0.0; ///< Mean fraction of all pairs of a node and a serving backend server.
+	std::size_t most_in_rest =
+	    0; ///< Requests of one node to a backend server during the remainder of a rest.
 	std::size_t bytes = 0;
 };
 
 class rest_model
 {
 public:
-	rest_model(rest_way _way, std::size_t _nodes, const rest_play& _play)
-	    : m_way(_way), m_play(_play), m_nodes(_nodes, std::vector<knowledge>(k_servers)), m_random(7)
+	rest_model(rest_strategy _strategy, std::size_t _nodes, const rest_scenario& _scenario)
+	    : m_strategy(_strategy), m_scenario(_scenario),
+	      m_nodes(_nodes, std::vector<backend_knowledge>(k_servers)), m_random(7)
 	{
 	}
 	rest_figures run()
@@ -64,24 +67,24 @@
 		std::uniform_int_distribution<std::size_t> node(0, m_nodes.size() - 1);
 		double at_s = 1.0;
 		std::size_t requests = 0;
-		for (; at_s < 1.0 + to_s(k_played); at_s += pause(m_random))
+		for (; at_s < 1.0 + to_s(k_simulated); at_s += pause(m_random))
 		{
 			m_now = steady_time{} + std::chrono::microseconds(static_cast<std::int64_t>(1e6 * at_s));
 			send(node(m_random));
-			count_out_of_use(++requests);
+			count_withheld(++requests);
 		}
-		m_figures.turned_away /= static_cast<double>(requests);
+		m_figures.refused /= static_cast<double>(requests);
 		m_figures.served /= static_cast<double>(requests);
-		m_figures.out_of_use /= static_cast<double>(requests);
+		m_figures.withheld /= static_cast<double>(requests);
 		return m_figures;
 	}
 
 private:
-	/// What a node knows of a backend server, and what the rule counts of both.
-	struct knowledge
+	/// What a node knows of a backend server, and the requests that it sent during its rest.
+	struct backend_knowledge
 	{
 		backend_rest rest;
-		steady_time answered_at{};
+		steady_time refused_at{};
 		std::size_t in_rest = 0;
 	};
 
@@ -102,11 +105,11 @@
 				m_figures.served += 1.0;
 				return;
 			}
-			m_figures.turned_away += 0 == attempt ? 1.0 : 0.0;
+			m_figures.refused += 0 == attempt ? 1.0 : 0.0;
 			hear(_node, server);
 		}
 	}
-	std::size_t choose(std::vector<knowledge>& _known, const std::vector<bool>& _tried)
+	std::size_t choose(std::vector<backend_knowledge>& _known, const std::vector<bool>& _tried)
 	{
 		std::uniform_int_distribution<std::size_t> first(0, k_servers - 1);
 		const double share_per_s = k_per_s / static_cast<double>(k_servers * m_nodes.size());
@@ -124,8 +127,9 @@
 	}
 	bool serves(std::size_t _server)
 	{
-		const bool rests = _server < m_play.resting && m_now >= at(m_play.from) && m_now < at(m_play.until);
-		return !rests && std::uniform_real_distribution<double>()(m_random) >= m_play.turned_away;
+		const bool rests =
+		    _server < m_scenario.resting && m_now >= at(m_scenario.from) && m_now < at(m_scenario.until);
+		return !rests && std::uniform_real_distribution<double>()(m_random) >= m_scenario.refused;
 	}
 	static steady_time at(ms _time)
 	{
@@ -133,43 +137,43 @@
 	}
 	void hear(std::size_t _node, std::size_t _server)
 	{
-		knowledge& own = m_nodes[_node][_server];
-		own.rest.hear(m_play.asked, m_now);
-		own.answered_at = m_now;
-		own.in_rest = 0;
-		if (rest_way::told_to_all != m_way)
+		backend_knowledge& local = m_nodes[_node][_server];
+		local.rest.hear(m_scenario.asked_for, m_now);
+		local.refused_at = m_now;
+		local.in_rest = 0;
+		if (rest_strategy::sent_to_all != m_strategy)
 		{
 			return;
 		}
-		m_figures.bytes += k_told_bytes * (m_nodes.size() - 1);
-		for (std::vector<knowledge>& other : m_nodes)
+		m_figures.bytes += k_report_bytes * (m_nodes.size() - 1);
+		for (std::vector<backend_knowledge>& other : m_nodes)
 		{
-			other[_server].rest.hear(m_play.asked, m_now);
+			other[_server].rest.hear(m_scenario.asked_for, m_now);
 		}
 	}
-	void count_in_rest(knowledge& _known)
+	void count_in_rest(backend_knowledge& _known)
 	{
-		const bool counts = steady_time{} != _known.answered_at && m_now > _known.answered_at + k_under_way &&
-		                    m_now < _known.answered_at + m_play.asked;
+		const bool counts = steady_time{} != _known.refused_at && m_now > _known.refused_at + k_in_flight &&
+		                    m_now < _known.refused_at + m_scenario.asked_for;
 		_known.in_rest += counts ? 1 : 0;
 		m_figures.most_in_rest = std::max(m_figures.most_in_rest, _known.in_rest);
 	}
-	/// Looks at one node at a time, so that a play takes no pass through all of them for each request.
-	void count_out_of_use(std::size_t _turn)
+	/// Samples one node per request, so that the simulation does not iterate over all nodes for each request.
+	void count_withheld(std::size_t _request)
 	{
-		const std::vector<knowledge>& known = m_nodes[_turn % m_nodes.size()];
+		const std::vector<backend_knowledge>& known = m_nodes[_request % m_nodes.size()];
 		std::size_t resting = 0;
-		for (std::size_t server = m_play.resting; server < k_servers; ++server)
+		for (std::size_t server = m_scenario.resting; server < k_servers; ++server)
 		{
 			resting += known[server].rest.resting(m_now) ? 1 : 0;
 		}
-		m_figures.out_of_use +=
-		    static_cast<double>(resting) / static_cast<double>(k_servers - m_play.resting);
+		m_figures.withheld +=
+		    static_cast<double>(resting) / static_cast<double>(k_servers - m_scenario.resting);
 	}
 
-	rest_way m_way;
-	rest_play m_play;
-	std::vector<std::vector<knowledge>> m_nodes;
+	rest_strategy m_strategy;
+	rest_scenario m_scenario;
+	std::vector<std::vector<backend_knowledge>> m_nodes;
 	std::minstd_rand m_random;
 	steady_time m_now{};
 	rest_figures m_figures;
@@ -179,8 +183,8 @@
 class rest_model_test : public CppUnit::TestFixture
 {
 	CPPUNIT_TEST_SUITE(rest_model_test);
-	CPPUNIT_TEST(backend_servers_that_turn_a_few_away_at_random_stay_in_use_by_own_words);
-	CPPUNIT_TEST(third_of_a_service_that_rests_gets_nothing_from_nodes_that_heard_it);
+	CPPUNIT_TEST(backend_servers_that_refuse_a_few_at_random_stay_in_use_by_own_refusals);
+	CPPUNIT_TEST(third_of_a_service_that_rests_gets_nothing_from_nodes_that_it_refused);
 	CPPUNIT_TEST_SUITE_END();
 
 protected:
@@ -188,40 +192,40 @@
 
 	static void print(const char* _what, std::size_t _nodes, const rest_figures& _figures)
 	{
-		std::cout << _what << ", " << _nodes << " nodes: turned away " << _figures.turned_away << ", served "
-		          << _figures.served << ", out of use " << _figures.out_of_use << ", in a rest "
+		std::cout << _what << ", " << _nodes << " nodes: turned away " << _figures.refused << ", served "
+		          << _figures.served << ", out of use " << _figures.withheld << ", in a rest "
 		          << _figures.most_in_rest << ", " << _figures.bytes << " bytes told\n";
 	}
 
-	/// Guards against a word to one node that takes a backend server from all the others.
-	void backend_servers_that_turn_a_few_away_at_random_stay_in_use_by_own_words()
+	/// Guards against a refusal to one node that disables a backend server for all other nodes.
+	void backend_servers_that_refuse_a_few_at_random_stay_in_use_by_own_refusals()
 	{
-		rest_play play;
-		play.turned_away = 0.02;
-		play.asked = ms(2000);
+		rest_scenario scenario;
+		scenario.refused = 0.02;
+		scenario.asked_for = ms(2000);
 		for (const std::size_t nodes : k_sizes)
 		{
-			const rest_figures own = rest_model(rest_way::own_words, nodes, play).run();
-			const rest_figures told = rest_model(rest_way::told_to_all, nodes, play).run();
-			print("a few at random, own words", nodes, own);
-			print("a few at random, told to all", nodes, told);
-			CPPUNIT_ASSERT_EQUAL(std::size_t(0), own.most_in_rest);
-			CPPUNIT_ASSERT(own.out_of_use < told.out_of_use);
+			const rest_figures local = rest_model(rest_strategy::own_refusals, nodes, scenario).run();
+			const rest_figures forwarded = rest_model(rest_strategy::sent_to_all, nodes, scenario).run();
+			print("a few at random, own words", nodes, local);
+			print("a few at random, told to all", nodes, forwarded);
+			CPPUNIT_ASSERT_EQUAL(std::size_t(0), local.most_in_rest);
+			CPPUNIT_ASSERT(local.withheld < forwarded.withheld);
 		}
 	}
 
-	void third_of_a_service_that_rests_gets_nothing_from_nodes_that_heard_it()
+	void third_of_a_service_that_rests_gets_nothing_from_nodes_that_it_refused()
 	{
-		rest_play play;
-		play.resting = 8;
+		rest_scenario scenario;
+		scenario.resting = 8;
 		for (const std::size_t nodes : k_sizes)
 		{
-			const rest_figures own = rest_model(rest_way::own_words, nodes, play).run();
-			const rest_figures told = rest_model(rest_way::told_to_all, nodes, play).run();
-			print("a third rests, own words", nodes, own);
-			print("a third rests, told to all", nodes, told);
-			CPPUNIT_ASSERT_EQUAL(std::size_t(0), own.most_in_rest);
-			CPPUNIT_ASSERT_EQUAL(std::size_t(0), told.most_in_rest);
+			const rest_figures local = rest_model(rest_strategy::own_refusals, nodes, scenario).run();
+			const rest_figures forwarded = rest_model(rest_strategy::sent_to_all, nodes, scenario).run();
+			print("a third rests, own words", nodes, local);
+			print("a third rests, told to all", nodes, forwarded);
+			CPPUNIT_ASSERT_EQUAL(std::size_t(0), local.most_in_rest);
+			CPPUNIT_ASSERT_EQUAL(std::size_t(0), forwarded.most_in_rest);
 		}
 	}
 };
--- a/tests/steering_backend_choice_test.cpp
+++ b/tests/steering_backend_choice_test.cpp
@@ -1,6 +1,10 @@
 // Copyright 2026 the larkrack developers. All rights reserved.
 // License: BSD 2-Clause, see LICENSE.
 
+/// @file
+/// Backend choice: affinity, free slots, slow start, connections, limits and rests decide which backend
+/// server gets a request, and the reason that is given.
+
 #include "fixtures.h"
 
 #include "entry_node/backend_registry_p.h"
@@ -13,8 +17,8 @@
 
 namespace larkrack
 {
-/// Each node has the same part.
-class equal_warmup_part : public warmup_sharing_base
+/// Gives every node the same warm-up share.
+class equal_warmup_share : public warmup_sharing_base
 {
 public:
 	double warmup_part(const backend_state&) const override
@@ -23,7 +27,7 @@
 	}
 };
 
-/// Gives each request what the test says.
+/// Answers each token request as the test specifies.
 class scripted_tokens : public limit_tokens_base
 {
 public:
@@ -42,28 +46,28 @@
 	CPPUNIT_TEST_SUITE(steering_backend_choice_test);
 	CPPUNIT_TEST(select_same_key_free_servers_returns_the_same_server);
 	CPPUNIT_TEST(select_key_while_all_are_busy_stays_on_one_server);
-	CPPUNIT_TEST(select_key_others_idle_uses_an_idle_one);
-	CPPUNIT_TEST(select_key_own_server_full_waits_there_rather_than_start_where_nobody_knows_it);
+	CPPUNIT_TEST(select_key_own_server_and_queue_full_uses_an_idle_one);
+	CPPUNIT_TEST(select_key_own_server_full_waits_there_rather_than_start_on_a_cold_cache);
 	CPPUNIT_TEST(select_frequent_key_gets_more_servers);
 	CPPUNIT_TEST(select_full_server_own_portion_is_still_granted);
 	CPPUNIT_TEST(select_draining_gone_or_evacuated_server_is_never_chosen);
-	CPPUNIT_TEST(select_cold_server_keeps_to_this_nodes_part_of_the_rate);
-	CPPUNIT_TEST(select_server_taken_back_after_an_evacuation_is_taken_for_cold);
-	CPPUNIT_TEST(select_server_whose_entry_tells_a_longer_slow_start_stays_cold);
-	CPPUNIT_TEST(select_cold_server_of_another_region_is_left_alone);
+	CPPUNIT_TEST(select_cold_server_stays_within_this_nodes_share_of_the_rate);
+	CPPUNIT_TEST(select_server_after_an_evacuation_is_treated_as_cold);
+	CPPUNIT_TEST(select_server_with_a_longer_slow_start_in_its_entry_stays_cold);
+	CPPUNIT_TEST(select_cold_server_of_another_region_is_never_chosen);
 	CPPUNIT_TEST(select_among_thousands_takes_the_best);
 	CPPUNIT_TEST(portions_of_all_nodes_sum_up_to_the_slots);
-	CPPUNIT_TEST(told_loads_of_a_silent_node_are_forgotten);
-	CPPUNIT_TEST(choice_tells_why_it_was_made);
-	CPPUNIT_TEST(choice_none_tells_why);
-	CPPUNIT_TEST(choice_large_answer_prefers_the_near_domain);
-	CPPUNIT_TEST(choice_connections_are_divided_by_the_nodes);
-	CPPUNIT_TEST(backend_server_without_a_token_is_passed_for_the_next_of_the_key);
-	CPPUNIT_TEST(request_without_a_key_takes_one_with_a_limit_last);
-	CPPUNIT_TEST(request_that_may_not_wait_goes_on_where_a_token_may_come);
+	CPPUNIT_TEST(reported_loads_of_a_silent_node_are_dropped);
+	CPPUNIT_TEST(choice_made_has_a_reason);
+	CPPUNIT_TEST(choice_none_has_a_reason);
+	CPPUNIT_TEST(choice_large_response_prefers_the_near_domain);
+	CPPUNIT_TEST(choice_connections_are_divided_among_the_nodes);
+	CPPUNIT_TEST(backend_server_without_a_token_is_replaced_by_the_next_of_the_key);
+	CPPUNIT_TEST(request_without_a_key_uses_a_server_with_a_limit_last);
+	CPPUNIT_TEST(request_that_may_not_wait_skips_a_server_whose_token_may_come);
 	CPPUNIT_TEST(retry_takes_a_token_as_well);
-	CPPUNIT_TEST(key_of_a_resting_server_moves_to_its_next_one_and_comes_back);
-	CPPUNIT_TEST(resting_server_is_asked_for_no_token_and_no_grant_of_a_cold_one);
+	CPPUNIT_TEST(key_of_a_resting_server_moves_to_the_next_one_and_returns);
+	CPPUNIT_TEST(resting_server_takes_no_limit_token_and_no_warmup_token);
 	CPPUNIT_TEST(choice_among_twenty_thousand_resting_servers_costs_no_more);
 	CPPUNIT_TEST_SUITE_END();
 
@@ -99,20 +103,20 @@
 
 	backend_query query(std::uint64_t _key)
 	{
-		backend_query one;
-		one.candidates = &m_registry->of_service(service_name("shop"));
-		one.region = region_name("east");
-		one.own_region = region_name("east");
-		one.key = {_key};
-		one.own_portion = {0.0, 0.0};
-		one.sharers = {9.0};
-		return one;
+		backend_query built_query;
+		built_query.candidates = &m_registry->of_service(service_name("shop"));
+		built_query.region = region_name("east");
+		built_query.own_region = region_name("east");
+		built_query.key = {_key};
+		built_query.own_portion = {0.0, 0.0};
+		built_query.sharers = {9.0};
+		return built_query;
 	}
 
 	backend_state* select(backend_query _query, double _warmup_per_s = 0.0)
 	{
 		_query.limits = {_warmup_per_s, 0};
-		return choose_backend(_query, m_part, m_now).backend;
+		return choose_backend(_query, m_warmup, m_now).backend;
 	}
 
 	void fill(backend_state* _backend, int _in_flight)
@@ -132,7 +136,7 @@
 	{
 		for (backend_state* backend : m_registry->of_service(service_name("shop")))
 		{
-			fill(backend, 2); // One slot of three is free.
+			fill(backend, 2); // One of three slots is free.
 		}
 		std::set<std::string> used;
 		while (backend_state* backend = select(query(7)))
@@ -143,20 +147,20 @@
 		CPPUNIT_ASSERT_EQUAL(std::size_t(1), used.size());
 	}
 
-	void select_key_others_idle_uses_an_idle_one()
+	void select_key_own_server_and_queue_full_uses_an_idle_one()
 	{
 		backend_state* first = select(query(7));
-		fill(first, 6); // Its slots are taken, and as many requests wait as may.
+		fill(first, 6); // All slots are in use, and the maximum number of requests waits.
 		backend_state* second = select(query(7));
 		CPPUNIT_ASSERT(second != first);
 		fill(second, 3);
 		CPPUNIT_ASSERT(nullptr != select(query(7)));
 	}
 
-	void select_key_own_server_full_waits_there_rather_than_start_where_nobody_knows_it()
+	void select_key_own_server_full_waits_there_rather_than_start_on_a_cold_cache()
 	{
 		backend_state* first = select(query(7));
-		fill(first, 5); // Three run, two wait.
+		fill(first, 5); // Three requests run, two wait.
 		CPPUNIT_ASSERT(select(query(7)) == first);
 		const backend_query without_key = query(0);
 		CPPUNIT_ASSERT(select(without_key) != first);
@@ -183,7 +187,7 @@
 	{
 		for (backend_state* backend : m_registry->of_service(service_name("shop")))
 		{
-			backend->load.in_flight_elsewhere = 6; // All slots, and all that may wait.
+			backend->load.in_flight_elsewhere = 6; // All slots, and the maximum number of waiting requests.
 		}
 		CPPUNIT_ASSERT(nullptr == select(query(7)));
 		backend_query own = query(7);
@@ -210,7 +214,7 @@
 		}
 	}
 
-	void select_cold_server_keeps_to_this_nodes_part_of_the_rate()
+	void select_cold_server_stays_within_this_nodes_share_of_the_rate()
 	{
 		setUp();
 		for (int i = 1; i < 12; ++i)
@@ -226,20 +230,20 @@
 			granted += select(query(7), 9.0) ? 1 : 0;
 			m_now += std::chrono::milliseconds(10);
 		}
-		// 9 a second for 3 nodes, and a tenth of margin.
+		// 9 per second for 3 nodes, less the margin of a tenth, and the burst.
 		CPPUNIT_ASSERT(granted >= 24 && granted <= 29);
 	}
 
-	/// An evacuation ends and leaves the backend servers cold, before any entry tells of it: one second holds
-	/// no more than the rate of a cold one.
-	void select_server_taken_back_after_an_evacuation_is_taken_for_cold()
+	/// Guards against a burst at backend servers that are cold after an evacuation, before any registry entry
+	/// says so: within a second they get no more than the warm-up rate.
+	void select_server_after_an_evacuation_is_treated_as_cold()
 	{
 		setUp();
 		m_registry->set_warmup_times({{service_name("shop"), std::chrono::seconds(3)}});
 		m_registry->set_evacuated({domain_name("east-a"), domain_name("east-b")}, m_now);
 		CPPUNIT_ASSERT(nullptr == select(query(7), 9.0));
 		m_registry->set_evacuated({}, m_now);
-		m_registry->put(record_of("s0"), m_now); // Written before it turned cold.
+		m_registry->put(record_of("s0"), m_now); // Written before it became cold.
 		std::map<backend_state*, int> granted;
 		for (int ms = 0; ms < 2990; ms += 10)
 		{
@@ -250,13 +254,13 @@
 		CPPUNIT_ASSERT(!granted.empty());
 		for (const auto& [backend, count] : granted)
 		{
-			CPPUNIT_ASSERT(count <= 9); // A third of 9 a second, for 3 s.
+			CPPUNIT_ASSERT(count <= 9); // A third of 9 per second, for 3 s.
 		}
 		m_now += std::chrono::milliseconds(20);
 		CPPUNIT_ASSERT(nullptr != select(query(7), 9.0) && nullptr != select(query(7), 9.0));
 	}
 
-	void select_server_whose_entry_tells_a_longer_slow_start_stays_cold()
+	void select_server_with_a_longer_slow_start_in_its_entry_stays_cold()
 	{
 		setUp();
 		m_registry->set_warmup_times({{service_name("shop"), std::chrono::seconds(3)}});
@@ -266,10 +270,11 @@
 		record.warmup_left = std::chrono::seconds(5);
 		m_registry->put(record, m_now);
 		CPPUNIT_ASSERT(m_registry->find(backend_id("s0"))->cold(m_now + std::chrono::milliseconds(4900)));
-		CPPUNIT_ASSERT(!m_registry->find(backend_id("s1"))->cold(m_now)); // Of another failure domain.
+		CPPUNIT_ASSERT(
+		    !m_registry->find(backend_id("s1"))->cold(m_now)); // Not in the evacuated failure domain.
 	}
 
-	void select_cold_server_of_another_region_is_left_alone()
+	void select_cold_server_of_another_region_is_never_chosen()
 	{
 		backend_record record = put("far", "west-a");
 		record.warmup_left = std::chrono::seconds(60);
@@ -279,7 +284,8 @@
 		CPPUNIT_ASSERT(nullptr == select(far, 9.0));
 	}
 
-	/// Prints what a choice costs; LARKRACK_FIGURES=1. The chosen one is the best by rank at every size.
+	/// Measures the duration of a choice, printed with LARKRACK_FIGURES=1, and checks at every size that the
+	/// chosen backend server has the best rank.
 	void select_among_thousands_takes_the_best()
 	{
 		for (const int servers : {30, 300, 3000, 10000})
@@ -328,7 +334,7 @@
 		}
 	}
 
-	void told_loads_of_a_silent_node_are_forgotten()
+	void reported_loads_of_a_silent_node_are_dropped()
 	{
 		const backend_ptr backend = m_registry->find(backend_id("s0"));
 		m_registry->set_in_flight_of_node(node_name("n1"), {{backend->id_hash, 2}});
@@ -340,24 +346,24 @@
 		CPPUNIT_ASSERT_DOUBLES_EQUAL(1.0, backend->estimated_load(m_now + std::chrono::seconds(1)), 1e-9);
 	}
 
-	backend_choice_reason why(const backend_query& _query)
+	backend_choice_reason reason_for(const backend_query& _query)
 	{
-		return choose_backend(_query, m_part, m_now).why;
+		return choose_backend(_query, m_warmup, m_now).why;
 	}
 
-	void choice_tells_why_it_was_made()
+	void choice_made_has_a_reason()
 	{
-		CPPUNIT_ASSERT(backend_choice_reason::own_of_key == why(query(7)));
-		CPPUNIT_ASSERT(backend_choice_reason::least_load == why(query(0)));
+		CPPUNIT_ASSERT(backend_choice_reason::own_of_key == reason_for(query(7)));
+		CPPUNIT_ASSERT(backend_choice_reason::least_load == reason_for(query(0)));
 		fill(select(query(7)), 6);
-		CPPUNIT_ASSERT(backend_choice_reason::idle_for_key == why(query(7)));
+		CPPUNIT_ASSERT(backend_choice_reason::idle_for_key == reason_for(query(7)));
 	}
 
-	void choice_none_tells_why()
+	void choice_none_has_a_reason()
 	{
-		backend_query elsewhere = query(0);
-		elsewhere.region = region_name("north");
-		CPPUNIT_ASSERT(backend_choice_reason::none_usable == why(elsewhere));
+		backend_query query_elsewhere = query(0);
+		query_elsewhere.region = region_name("north");
+		CPPUNIT_ASSERT(backend_choice_reason::none_usable == reason_for(query_elsewhere));
 		std::vector<backend_id> all;
 		for (backend_state* backend : m_registry->of_service(service_name("shop")))
 		{
@@ -365,28 +371,28 @@
 		}
 		backend_query tried = query(0);
 		tried.tried = &all;
-		CPPUNIT_ASSERT(backend_choice_reason::all_tried == why(tried));
+		CPPUNIT_ASSERT(backend_choice_reason::all_tried == reason_for(tried));
 		for (backend_state* backend : m_registry->of_service(service_name("shop")))
 		{
 			fill(backend, 6);
 		}
-		CPPUNIT_ASSERT(backend_choice_reason::no_slot == why(query(0)));
-		CPPUNIT_ASSERT(backend_choice_reason::not_own_of_key == why(query(7)));
+		CPPUNIT_ASSERT(backend_choice_reason::no_slot == reason_for(query(0)));
+		CPPUNIT_ASSERT(backend_choice_reason::not_own_of_key == reason_for(query(7)));
 	}
 
-	void choice_large_answer_prefers_the_near_domain()
+	void choice_large_response_prefers_the_near_domain()
 	{
-		backend_query near = query(0);
-		near.nearest_domain = domain_name("east-b");
+		backend_query near_query = query(0);
+		near_query.nearest_domain = domain_name("east-b");
 		for (backend_state* backend : m_registry->of_service(service_name("shop")))
 		{
 			fill(backend, domain_name("east-b") == backend->registered.domain ? 2 : 0);
 		}
 		CPPUNIT_ASSERT(
-		    domain_name("east-b") == choose_backend(near, m_part, m_now).backend->registered.domain);
+		    domain_name("east-b") == choose_backend(near_query, m_warmup, m_now).backend->registered.domain);
 	}
 
-	void choice_connections_are_divided_by_the_nodes()
+	void choice_connections_are_divided_among_the_nodes()
 	{
 		backend_query limited = query(0);
 		limited.limits.max_connections = 18; // Two for each of nine nodes.
@@ -394,54 +400,54 @@
 		{
 			backend->connections = 1;
 		}
-		CPPUNIT_ASSERT(nullptr != choose_backend(limited, m_part, m_now).backend);
+		CPPUNIT_ASSERT(nullptr != choose_backend(limited, m_warmup, m_now).backend);
 		for (backend_state* backend : m_registry->of_service(service_name("shop")))
 		{
 			backend->connections = 2;
 		}
-		CPPUNIT_ASSERT(backend_choice_reason::no_connection == why(limited));
+		CPPUNIT_ASSERT(backend_choice_reason::no_connection == reason_for(limited));
 	}
 
-	void name_limit(backend_state& _backend)
+	void report_limit(backend_state& _backend)
 	{
 		_backend.limit.hear({2.9, m_now});
 	}
 
 	backend_query query_with_tokens(std::uint64_t _key)
 	{
-		backend_query one = query(_key);
-		one.tokens = &m_tokens;
-		return one;
+		backend_query built_query = query(_key);
+		built_query.tokens = &m_tokens;
+		return built_query;
 	}
 
-	void backend_server_without_a_token_is_passed_for_the_next_of_the_key()
+	void backend_server_without_a_token_is_replaced_by_the_next_of_the_key()
 	{
 		for (backend_state* backend : m_registry->of_service(service_name("shop")))
 		{
-			fill(backend, 2); // None is idle enough for keys that are not its own.
+			fill(backend, 2); // None is idle enough for a key that is not its own.
 		}
 		backend_state* first = select(query_with_tokens(7));
-		name_limit(*first);
+		report_limit(*first);
 		CPPUNIT_ASSERT(first == select(query_with_tokens(7)));
 		m_tokens.answer = quota_answer::over;
 		backend_state* second = select(query_with_tokens(7));
 		CPPUNIT_ASSERT(nullptr != second && second != first);
-		backend_query known = query_with_tokens(7);
-		std::vector<backend_id> without{first->registered.id};
-		known.without_token = &without;
+		backend_query query_without_token = query_with_tokens(7);
+		std::vector<backend_id> lacking_token{first->registered.id};
+		query_without_token.without_token = &lacking_token;
 		m_tokens.taken = 0;
-		CPPUNIT_ASSERT(second == select(known));
-		CPPUNIT_ASSERT_EQUAL(0, m_tokens.taken); // It isn't asked for twice.
+		CPPUNIT_ASSERT(second == select(query_without_token));
+		CPPUNIT_ASSERT_EQUAL(0, m_tokens.taken); // No token is requested again.
 	}
 
-	void request_without_a_key_takes_one_with_a_limit_last()
+	void request_without_a_key_uses_a_server_with_a_limit_last()
 	{
 		const std::vector<backend_state*>& all = m_registry->of_service(service_name("shop"));
 		for (backend_state* backend : all)
 		{
 			fill(backend, 2);
 		}
-		name_limit(*all.front());
+		report_limit(*all.front());
 		fill(all.front(), 0);
 		CPPUNIT_ASSERT(all.front() != select(query_with_tokens(0)));
 		for (backend_state* backend : all)
@@ -451,14 +457,14 @@
 		CPPUNIT_ASSERT(all.front() == select(query_with_tokens(0)));
 	}
 
-	void request_that_may_not_wait_goes_on_where_a_token_may_come()
+	void request_that_may_not_wait_skips_a_server_whose_token_may_come()
 	{
 		backend_state* first = select(query_with_tokens(7));
-		name_limit(*first);
+		report_limit(*first);
 		m_tokens.answer = quota_answer::waits;
 		backend_query may_wait = query_with_tokens(7);
 		may_wait.waits_for_token = true;
-		const backend_choice choice = choose_backend(may_wait, m_part, m_now);
+		const backend_choice choice = choose_backend(may_wait, m_warmup, m_now);
 		CPPUNIT_ASSERT(first == choice.backend && backend_choice_reason::awaits_token == choice.why);
 		CPPUNIT_ASSERT(first != select(query_with_tokens(7)));
 	}
@@ -467,43 +473,43 @@
 	{
 		backend_state* first = select(query_with_tokens(7));
 		const std::vector<backend_id> tried{first->registered.id};
-		backend_query again = query_with_tokens(7);
-		again.tried = &tried;
-		backend_state* second = select(again);
-		name_limit(*second);
+		backend_query retry_query = query_with_tokens(7);
+		retry_query.tried = &tried;
+		backend_state* second = select(retry_query);
+		report_limit(*second);
 		m_tokens.answer = quota_answer::over;
-		CPPUNIT_ASSERT(second != select(again));
+		CPPUNIT_ASSERT(second != select(retry_query));
 		CPPUNIT_ASSERT(m_tokens.taken > 0);
 	}
 
 	scripted_tokens m_tokens;
 	std::unique_ptr<backend_registry> m_registry;
-	equal_warmup_part m_part;
+	equal_warmup_share m_warmup;
 	steady_time m_now{std::chrono::hours(1)};
 
-	void key_of_a_resting_server_moves_to_its_next_one_and_comes_back()
+	void key_of_a_resting_server_moves_to_the_next_one_and_returns()
 	{
 		backend_state* home = select(query(42));
 		home->rest.hear(std::chrono::seconds(3), m_now);
 		backend_state* next = select(query(42));
 		CPPUNIT_ASSERT(nullptr != next && home != next);
-		CPPUNIT_ASSERT(next == select(query(42))); // All of its requests meet there.
+		CPPUNIT_ASSERT(next == select(query(42))); // All requests of the key go there.
 		m_now += std::chrono::seconds(3);
 		CPPUNIT_ASSERT(home == select(query(42)));
 	}
 
-	void resting_server_is_asked_for_no_token_and_no_grant_of_a_cold_one()
+	void resting_server_takes_no_limit_token_and_no_warmup_token()
 	{
 		scripted_tokens tokens;
-		backend_query one = query(42);
-		one.tokens = &tokens;
-		backend_state* home = select(one);
+		backend_query built_query = query(42);
+		built_query.tokens = &tokens;
+		backend_state* home = select(built_query);
 		home->limit.hear({2.9, m_now});
 		home->rest.hear(std::chrono::seconds(3), m_now);
-		CPPUNIT_ASSERT(home != select(one));
+		CPPUNIT_ASSERT(home != select(built_query));
 		CPPUNIT_ASSERT_EQUAL(0, tokens.taken);
 		m_now += std::chrono::seconds(3);
-		CPPUNIT_ASSERT(home == select(one));
+		CPPUNIT_ASSERT(home == select(built_query));
 		CPPUNIT_ASSERT_EQUAL(1, tokens.taken);
 	}
 
@@ -519,7 +525,7 @@
 			const auto began = std::chrono::steady_clock::now();
 			for (int i = 0; i < k_choices; ++i)
 			{
-				choose_backend(query(0), m_part, m_now);
+				choose_backend(query(0), m_warmup, m_now);
 			}
 			return (std::chrono::steady_clock::now() - began) / k_choices;
 		};
@@ -530,7 +536,7 @@
 		}
 		m_registry->find(backend_id("s7"))->rest = {};
 		m_registry->find(backend_id("s7"))->rest.hear(std::chrono::seconds(1), m_now);
-		const backend_choice none = choose_backend(query(0), m_part, m_now);
+		const backend_choice none = choose_backend(query(0), m_warmup, m_now);
 		CPPUNIT_ASSERT(backend_choice_reason::all_resting == none.why);
 		CPPUNIT_ASSERT(m_now + std::chrono::seconds(1) == none.back_at);
 		const auto resting = time_of_a_choice();
--- a/tests/steering_backend_limit_test.cpp
+++ b/tests/steering_backend_limit_test.cpp
@@ -2,7 +2,7 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Words of backend servers about their limits: which are taken, and which of several holds.
+/// Limits that backend servers report: which header values are accepted, and which of several reports holds.
 
 #include "fixtures.h"
 
@@ -14,9 +14,9 @@
 {
 	CPPUNIT_TEST_SUITE(steering_backend_limit_test);
 	CPPUNIT_TEST(text_of_a_decimal_number_is_a_limit);
-	CPPUNIT_TEST(text_that_is_no_number_is_passed_over);
-	CPPUNIT_TEST(absurd_number_becomes_the_nearest_limit_that_can_be_kept);
-	CPPUNIT_TEST(newer_word_holds_whatever_order_words_come_in);
+	CPPUNIT_TEST(text_that_is_not_a_number_is_ignored);
+	CPPUNIT_TEST(number_out_of_range_becomes_the_nearest_limit_that_is_enforced);
+	CPPUNIT_TEST(newest_report_holds_in_any_order_of_arrival);
 	CPPUNIT_TEST_SUITE_END();
 
 protected:
@@ -32,7 +32,7 @@
 		CPPUNIT_ASSERT(k_now == parse("5")->said_at);
 	}
 
-	void text_that_is_no_number_is_passed_over()
+	void text_that_is_not_a_number_is_ignored()
 	{
 		for (const char* text : {"", "-1", "nan", "inf", "2.9 a second", "0x10", " 5", "5,6"})
 		{
@@ -40,14 +40,14 @@
 		}
 	}
 
-	void absurd_number_becomes_the_nearest_limit_that_can_be_kept()
+	void number_out_of_range_becomes_the_nearest_limit_that_is_enforced()
 	{
 		CPPUNIT_ASSERT_EQUAL(k_least_limit_per_s, *parse("0")->per_s);
 		CPPUNIT_ASSERT_EQUAL(k_least_limit_per_s, *parse("0.0000001")->per_s);
 		CPPUNIT_ASSERT(!parse("10000000000")->per_s);
 	}
 
-	void newer_word_holds_whatever_order_words_come_in()
+	void newest_report_holds_in_any_order_of_arrival()
 	{
 		named_limit limit;
 		CPPUNIT_ASSERT(!limit.limited());
--- a/tests/steering_backend_rest_test.cpp
+++ b/tests/steering_backend_rest_test.cpp
@@ -2,7 +2,7 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Rests of a backend server, and its return, on a virtual clock.
+/// Rest periods of a backend server and the ramp-up after them, on a virtual clock.
 
 #include "fixtures.h"
 
@@ -18,13 +18,13 @@
 {
 	CPPUNIT_TEST_SUITE(steering_backend_rest_test);
 	CPPUNIT_TEST(text_of_seconds_is_a_rest_and_any_other_text_is_none);
-	CPPUNIT_TEST(rest_that_is_longer_than_any_is_kept_to_for_an_hour);
-	CPPUNIT_TEST(shorter_word_after_a_longer_one_ends_no_rest);
-	CPPUNIT_TEST(ejection_and_rest_run_side_by_side_and_the_longer_one_holds);
-	CPPUNIT_TEST(turned_away_requests_eject_no_backend_server);
-	CPPUNIT_TEST(first_second_after_a_rest_gets_its_even_share);
-	CPPUNIT_TEST(backend_server_that_never_rested_gets_all_it_is_chosen_for);
-	CPPUNIT_TEST(caller_is_told_to_come_back_when_the_first_rest_is_over);
+	CPPUNIT_TEST(rest_above_the_maximum_is_cut_to_an_hour);
+	CPPUNIT_TEST(shorter_rest_after_a_longer_one_does_not_end_it);
+	CPPUNIT_TEST(ejection_and_rest_at_the_same_time_the_longer_one_holds);
+	CPPUNIT_TEST(refused_requests_do_not_eject_a_backend_server);
+	CPPUNIT_TEST(first_second_after_a_rest_is_limited_to_the_even_share);
+	CPPUNIT_TEST(backend_server_that_never_rested_is_not_limited);
+	CPPUNIT_TEST(retry_time_of_a_caller_is_after_the_first_rest);
 	CPPUNIT_TEST_SUITE_END();
 
 protected:
@@ -38,19 +38,19 @@
 		CPPUNIT_ASSERT(ms(3000) == parse_rest("3"));
 		CPPUNIT_ASSERT(ms(200) == parse_rest("0.2"));
 		CPPUNIT_ASSERT(ms(0) == parse_rest("0"));
-		for (const char* none :
+		for (const char* invalid :
 		    {"", "-1", "nan", "inf", "soon", "3s", "3, 4", "Wed, 21 Oct 2026 07:28:00 GMT"})
 		{
-			CPPUNIT_ASSERT_MESSAGE(none, !parse_rest(none));
+			CPPUNIT_ASSERT_MESSAGE(invalid, !parse_rest(invalid));
 		}
 	}
 
-	void rest_that_is_longer_than_any_is_kept_to_for_an_hour()
+	void rest_above_the_maximum_is_cut_to_an_hour()
 	{
 		CPPUNIT_ASSERT(k_longest_rest == parse_rest("1000000000"));
 	}
 
-	void shorter_word_after_a_longer_one_ends_no_rest()
+	void shorter_rest_after_a_longer_one_does_not_end_it()
 	{
 		backend_rest rest;
 		CPPUNIT_ASSERT(rest.hear(ms(3000), at(ms(0))));
@@ -61,7 +61,7 @@
 		CPPUNIT_ASSERT(!rest.resting(at(ms(4000))));
 	}
 
-	void ejection_and_rest_run_side_by_side_and_the_longer_one_holds()
+	void ejection_and_rest_at_the_same_time_the_longer_one_holds()
 	{
 		backend_state backend;
 		backend.rest.hear(ms(3000), at(ms(0)));
@@ -78,7 +78,7 @@
 		CPPUNIT_ASSERT(!backend.usable(at(ms(4300)))); // Still ejected.
 	}
 
-	void turned_away_requests_eject_no_backend_server()
+	void refused_requests_do_not_eject_a_backend_server()
 	{
 		backend_state backend;
 		for (int i = 0; i < 10; ++i)
@@ -89,12 +89,13 @@
 		CPPUNIT_ASSERT(!backend.ejection.ejected(at(ms(10))));
 	}
 
-	/// Guards against a herd: all requests at once to a backend server that is empty since it has rested.
-	void first_second_after_a_rest_gets_its_even_share()
+	/// Guards against a thundering herd: a backend server that is empty after a rest gets all requests at
+	/// once.
+	void first_second_after_a_rest_is_limited_to_the_even_share()
 	{
 		backend_rest rest;
 		rest.hear(ms(700), at(ms(0)));
-		constexpr int k_share = 20; // Requests a second.
+		constexpr int k_share = 20; // Requests per second.
 		std::vector<ms> sent;
 		for (ms now(700); now < ms(1700); now += ms(1))
 		{
@@ -104,14 +105,14 @@
 			}
 		}
 		CPPUNIT_ASSERT(ms(700) == sent.front());
-		CPPUNIT_ASSERT(sent.at(1) >= ms(700) + k_look_time); // Time for the first one to be turned away.
+		CPPUNIT_ASSERT(sent.at(1) >= ms(700) + k_look_time); // Time for the probe to be refused.
 		CPPUNIT_ASSERT(sent.size() <= k_share + 1);
 		CPPUNIT_ASSERT(sent.size() >= k_share * 8 / 10);
-		CPPUNIT_ASSERT(rest.may_return(k_share, at(ms(1700)))); // From then on it is one like the others.
+		CPPUNIT_ASSERT(rest.may_return(k_share, at(ms(1700)))); // The ramp-up is over.
 		CPPUNIT_ASSERT(rest.may_return(k_share, at(ms(1700))));
 	}
 
-	void backend_server_that_never_rested_gets_all_it_is_chosen_for()
+	void backend_server_that_never_rested_is_not_limited()
 	{
 		backend_rest rest;
 		for (int i = 0; i < 100; ++i)
@@ -120,10 +121,10 @@
 		}
 	}
 
-	void caller_is_told_to_come_back_when_the_first_rest_is_over()
+	void retry_time_of_a_caller_is_after_the_first_rest()
 	{
 		CPPUNIT_ASSERT(retry_after_rest_s(3.0, k_retry_after_first_s) >= 3.0);
-		CPPUNIT_ASSERT(retry_after_rest_s(3.0, k_retry_after_last_s) > 3.0); // Spread.
+		CPPUNIT_ASSERT(retry_after_rest_s(3.0, k_retry_after_last_s) > 3.0); // Includes jitter.
 		CPPUNIT_ASSERT(retry_after_rest_s(3.0, k_retry_after_last_s) <= 3.0 + k_retry_after_last_s);
 		CPPUNIT_ASSERT(retry_after_rest_s(-1.0, k_retry_after_first_s) >= k_retry_after_first_s);
 	}
--- a/tests/steering_crash_test.cpp
+++ b/tests/steering_crash_test.cpp
@@ -2,7 +2,8 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Requests that end backend servers: which are the same, who is to blame, what is blocked and let through.
+/// Requests that crash backend servers: how they are identified and blamed, and when they are blocked and let
+/// through for a trial.
 
 #include "fixtures.h"
 
@@ -23,7 +24,7 @@
 	return {_number, _number, _caller};
 }
 
-backend_end end_of(std::uint32_t _life, std::uint32_t _caller = k_first_caller)
+backend_end crash_of(std::uint32_t _life, std::uint32_t _caller = k_first_caller)
 {
 	return {_life, _caller, false, k_begin};
 }
@@ -41,21 +42,21 @@
 {
 	CPPUNIT_TEST_SUITE(steering_crash_test);
 	CPPUNIT_TEST(fingerprint_differs_by_method_host_target_body_and_caller);
-	CPPUNIT_TEST(request_under_which_three_servers_ended_is_to_blame);
-	CPPUNIT_TEST(end_that_is_told_several_times_counts_once);
-	CPPUNIT_TEST(request_that_was_served_meanwhile_is_not_to_blame);
-	CPPUNIT_TEST(request_of_several_callers_is_to_blame_for_all);
-	CPPUNIT_TEST(end_that_counts_for_its_caller_alone_blames_no_other);
-	CPPUNIT_TEST(end_that_is_old_is_forgotten);
-	CPPUNIT_TEST(many_different_requests_are_remembered_within_bounds);
-	CPPUNIT_TEST(request_that_is_blocked_is_let_through_once);
-	CPPUNIT_TEST(request_that_is_blocked_is_let_through_again_after_a_release_only);
-	CPPUNIT_TEST(look_that_reached_no_server_may_be_made_again);
-	CPPUNIT_TEST(change_that_is_older_is_passed_over);
+	CPPUNIT_TEST(request_that_three_servers_crashed_under_is_blamed);
+	CPPUNIT_TEST(crash_reported_several_times_counts_once);
+	CPPUNIT_TEST(request_that_was_served_meanwhile_is_not_blamed);
+	CPPUNIT_TEST(request_of_several_callers_is_blamed_for_all);
+	CPPUNIT_TEST(crash_that_counts_for_its_caller_only_blames_no_other);
+	CPPUNIT_TEST(crash_that_expired_is_forgotten);
+	CPPUNIT_TEST(many_different_requests_are_remembered_up_to_the_maximum);
+	CPPUNIT_TEST(blocked_request_gets_one_trial);
+	CPPUNIT_TEST(blocked_request_gets_another_trial_only_after_a_release);
+	CPPUNIT_TEST(trial_that_reached_no_server_may_be_repeated);
+	CPPUNIT_TEST(change_that_is_older_is_ignored);
 	CPPUNIT_TEST(block_for_any_caller_holds_for_each);
-	CPPUNIT_TEST(block_of_a_request_that_comes_no_more_is_forgotten);
-	CPPUNIT_TEST(many_blocks_are_remembered_within_bounds_and_the_unseen_go_first);
-	CPPUNIT_TEST(request_counts_as_served_lately_for_a_moment);
+	CPPUNIT_TEST(block_of_a_request_that_stays_away_expires);
+	CPPUNIT_TEST(many_blocks_are_remembered_up_to_the_maximum_and_the_oldest_are_evicted);
+	CPPUNIT_TEST(request_counts_as_recently_served_for_a_moment);
 	CPPUNIT_TEST_SUITE_END();
 
 protected:
@@ -73,77 +74,77 @@
 		CPPUNIT_ASSERT(request_caller_hash(sender, 1) != request_caller_hash(sender, 2));
 	}
 
-	void request_under_which_three_servers_ended_is_to_blame()
+	void request_that_three_servers_crashed_under_is_blamed()
 	{
 		crash_evidence evidence;
-		CPPUNIT_ASSERT(!evidence.on_end(request_of(1), end_of(1)));
-		CPPUNIT_ASSERT(!evidence.on_end(request_of(2), end_of(1)));
-		CPPUNIT_ASSERT(!evidence.on_end(request_of(1), end_of(2)));
-		CPPUNIT_ASSERT(request_of(1) == *evidence.on_end(request_of(1), end_of(3)));
+		CPPUNIT_ASSERT(!evidence.on_end(request_of(1), crash_of(1)));
+		CPPUNIT_ASSERT(!evidence.on_end(request_of(2), crash_of(1)));
+		CPPUNIT_ASSERT(!evidence.on_end(request_of(1), crash_of(2)));
+		CPPUNIT_ASSERT(request_of(1) == *evidence.on_end(request_of(1), crash_of(3)));
 		CPPUNIT_ASSERT_EQUAL(std::size_t(3), evidence.ends_of(request_of(1)));
 		CPPUNIT_ASSERT_EQUAL(std::size_t(1), evidence.ends_of(request_of(2)));
 		CPPUNIT_ASSERT_EQUAL(std::size_t(0), evidence.ends_of(request_of(1, k_other_caller)));
 	}
 
-	void end_that_is_told_several_times_counts_once()
+	void crash_reported_several_times_counts_once()
 	{
 		crash_evidence evidence;
-		for (int told = 0; told < 10; ++told)
+		for (int report = 0; report < 10; ++report)
 		{
-			CPPUNIT_ASSERT(!evidence.on_end(request_of(1), end_of(1)));
-			CPPUNIT_ASSERT(!evidence.on_end(request_of(1), end_of(2)));
+			CPPUNIT_ASSERT(!evidence.on_end(request_of(1), crash_of(1)));
+			CPPUNIT_ASSERT(!evidence.on_end(request_of(1), crash_of(2)));
 		}
 	}
 
-	void request_that_was_served_meanwhile_is_not_to_blame()
+	void request_that_was_served_meanwhile_is_not_blamed()
 	{
 		crash_evidence evidence;
-		evidence.on_end(request_of(1), end_of(1));
-		evidence.on_end(request_of(1), end_of(2));
+		evidence.on_end(request_of(1), crash_of(1));
+		evidence.on_end(request_of(1), crash_of(2));
 		evidence.on_served(request_of(1));
 		CPPUNIT_ASSERT(evidence.empty());
 		CPPUNIT_ASSERT(!evidence.suspects(1));
-		CPPUNIT_ASSERT(!evidence.on_end(request_of(1), end_of(3)));
+		CPPUNIT_ASSERT(!evidence.on_end(request_of(1), crash_of(3)));
 	}
 
-	void request_of_several_callers_is_to_blame_for_all()
+	void request_of_several_callers_is_blamed_for_all()
 	{
 		crash_evidence evidence;
-		evidence.on_end(request_of(1, 1), end_of(1, 1));
-		evidence.on_end(request_of(1, 2), end_of(2, 2));
-		const auto blamed = evidence.on_end(request_of(1, 3), end_of(3, 3));
+		evidence.on_end(request_of(1, 1), crash_of(1, 1));
+		evidence.on_end(request_of(1, 2), crash_of(2, 2));
+		const auto blamed = evidence.on_end(request_of(1, 3), crash_of(3, 3));
 		CPPUNIT_ASSERT(request_of(1, k_any_caller) == *blamed);
 	}
 
-	void end_that_counts_for_its_caller_alone_blames_no_other()
+	void crash_that_counts_for_its_caller_only_blames_no_other()
 	{
 		crash_evidence evidence;
 		for (std::uint32_t caller = 1; caller <= 5; ++caller)
 		{
-			backend_end end = end_of(caller, caller);
+			backend_end end = crash_of(caller, caller);
 			end.caller_only = true;
 			CPPUNIT_ASSERT(!evidence.on_end(request_of(1, caller), end));
 		}
-		evidence.on_end(request_of(1, 1), end_of(8, 1));
-		CPPUNIT_ASSERT(request_of(1, 1) == *evidence.on_end(request_of(1, 1), end_of(9, 1)));
+		evidence.on_end(request_of(1, 1), crash_of(8, 1));
+		CPPUNIT_ASSERT(request_of(1, 1) == *evidence.on_end(request_of(1, 1), crash_of(9, 1)));
 	}
 
-	void end_that_is_old_is_forgotten()
+	void crash_that_expired_is_forgotten()
 	{
 		crash_evidence evidence;
-		evidence.on_end(request_of(1), end_of(1));
+		evidence.on_end(request_of(1), crash_of(1));
 		evidence.tick(k_begin + k_end_kept);
 		CPPUNIT_ASSERT(!evidence.empty());
 		evidence.tick(k_begin + k_end_kept + std::chrono::milliseconds(1));
 		CPPUNIT_ASSERT(evidence.empty());
 	}
 
-	void many_different_requests_are_remembered_within_bounds()
+	void many_different_requests_are_remembered_up_to_the_maximum()
 	{
 		crash_evidence evidence;
 		for (std::uint64_t number = 1; number <= 100000; ++number)
 		{
-			evidence.on_end(request_of(number), end_of(1));
+			evidence.on_end(request_of(number), crash_of(1));
 		}
 		std::size_t remembered = 0;
 		for (std::uint64_t number = 1; number <= 100000; ++number)
@@ -154,7 +155,7 @@
 		CPPUNIT_ASSERT(evidence.suspects(100000));
 	}
 
-	void request_that_is_blocked_is_let_through_once()
+	void blocked_request_gets_one_trial()
 	{
 		blocked_requests blocked;
 		CPPUNIT_ASSERT(block_decision::open == blocked.decide(request_of(1), 7, k_begin));
@@ -167,7 +168,7 @@
 		CPPUNIT_ASSERT(!blocked.grant_look(request_of(1), 7, k_begin + std::chrono::hours(1)));
 	}
 
-	void request_that_is_blocked_is_let_through_again_after_a_release_only()
+	void blocked_request_gets_another_trial_only_after_a_release()
 	{
 		blocked_requests blocked;
 		blocked.take(block_of(1), k_begin);
@@ -182,7 +183,7 @@
 		}
 	}
 
-	void look_that_reached_no_server_may_be_made_again()
+	void trial_that_reached_no_server_may_be_repeated()
 	{
 		blocked_requests blocked;
 		blocked.take(block_of(1), k_begin);
@@ -192,7 +193,7 @@
 		CPPUNIT_ASSERT(blocked.grant_look(request_of(1), 7, k_begin));
 	}
 
-	void change_that_is_older_is_passed_over()
+	void change_that_is_older_is_ignored()
 	{
 		blocked_requests blocked;
 		request_block cleared = block_of(2);
@@ -216,7 +217,7 @@
 		CPPUNIT_ASSERT(nullptr == blocked.find(request_of(2)));
 	}
 
-	void block_of_a_request_that_comes_no_more_is_forgotten()
+	void block_of_a_request_that_stays_away_expires()
 	{
 		blocked_requests blocked;
 		blocked.take(block_of(1), k_begin);
@@ -229,7 +230,7 @@
 		CPPUNIT_ASSERT(!blocked.may_match(1));
 	}
 
-	void many_blocks_are_remembered_within_bounds_and_the_unseen_go_first()
+	void many_blocks_are_remembered_up_to_the_maximum_and_the_oldest_are_evicted()
 	{
 		blocked_requests blocked;
 		request_block block = block_of(1);
@@ -245,7 +246,7 @@
 		CPPUNIT_ASSERT(nullptr == blocked.find(request_of(2)));
 	}
 
-	void request_counts_as_served_lately_for_a_moment()
+	void request_counts_as_recently_served_for_a_moment()
 	{
 		served_lately served;
 		CPPUNIT_ASSERT(!served.has(0, k_begin));
--- a/tests/steering_customer_test.cpp
+++ b/tests/steering_customer_test.cpp
@@ -1,6 +1,9 @@
 // Copyright 2026 the larkrack developers. All rights reserved.
 // License: BSD 2-Clause, see LICENSE.
 
+/// @file
+/// Customer directory: lookup of API keys, rejection of invalid configurations, and home regions.
+
 #include "fixtures.h"
 
 #include "steering/customer_p.h"
@@ -29,17 +32,17 @@
 class steering_customer_test : public CppUnit::TestFixture
 {
 	CPPUNIT_TEST_SUITE(steering_customer_test);
-	CPPUNIT_TEST(directory_empty_needs_no_keys);
-	CPPUNIT_TEST(directory_without_any_customer_needs_keys_and_knows_none);
+	CPPUNIT_TEST(directory_default_requires_no_keys);
+	CPPUNIT_TEST(directory_without_any_customer_requires_keys_and_finds_none);
 	CPPUNIT_TEST(key_of_each_customer_is_found);
-	CPPUNIT_TEST(key_that_is_alike_is_not_found);
+	CPPUNIT_TEST(key_that_is_similar_is_not_found);
 	CPPUNIT_TEST(key_many_customers_each_is_found);
-	CPPUNIT_TEST(key_of_two_customers_is_refused_without_naming_it);
-	CPPUNIT_TEST(key_listed_twice_by_one_customer_is_taken);
-	CPPUNIT_TEST(customer_named_twice_is_refused);
-	CPPUNIT_TEST(customer_with_an_empty_key_is_refused);
-	CPPUNIT_TEST(customer_with_an_impossible_limit_is_refused);
-	CPPUNIT_TEST(homes_of_route_and_customer_both_bind);
+	CPPUNIT_TEST(key_of_two_customers_is_rejected_without_printing_it);
+	CPPUNIT_TEST(key_listed_twice_by_one_customer_is_accepted);
+	CPPUNIT_TEST(customer_listed_twice_is_rejected);
+	CPPUNIT_TEST(customer_with_an_empty_key_is_rejected);
+	CPPUNIT_TEST(customer_with_an_impossible_limit_is_rejected);
+	CPPUNIT_TEST(home_regions_of_route_and_customer_are_intersected);
 	CPPUNIT_TEST_SUITE_END();
 
 protected:
@@ -61,15 +64,15 @@
 		return std::move(*value_of(directory));
 	}
 
-	static std::string refusal(std::vector<customer_entry> _entries)
+	static std::string rejection(std::vector<customer_entry> _entries)
 	{
 		const result<customer_directory> directory = customer_directory::build(std::move(_entries));
-		const error* mistake = std::get_if<error>(&directory);
-		CPPUNIT_ASSERT(nullptr != mistake);
-		return mistake->message;
+		const error* rejected = std::get_if<error>(&directory);
+		CPPUNIT_ASSERT(nullptr != rejected);
+		return rejected->message;
 	}
 
-	void directory_empty_needs_no_keys()
+	void directory_default_requires_no_keys()
 	{
 		const customer_directory none;
 		CPPUNIT_ASSERT(!none.in_force());
@@ -77,7 +80,7 @@
 		CPPUNIT_ASSERT(nullptr == none.find_by_id(1));
 	}
 
-	void directory_without_any_customer_needs_keys_and_knows_none()
+	void directory_without_any_customer_requires_keys_and_finds_none()
 	{
 		const customer_directory none = built({});
 		CPPUNIT_ASSERT(none.in_force());
@@ -94,7 +97,7 @@
 		CPPUNIT_ASSERT(nullptr == two.find_by_id(customer_id("mill")));
 	}
 
-	void key_that_is_alike_is_not_found()
+	void key_that_is_similar_is_not_found()
 	{
 		const customer_directory one = built({entry("shop", {"key-1"})});
 		for (const char* text : {"", "key-", "key-2", "key-11", "KEY-1", " key-1", "key-1 "})
@@ -124,48 +127,48 @@
 		}
 	}
 
-	void key_of_two_customers_is_refused_without_naming_it()
+	void key_of_two_customers_is_rejected_without_printing_it()
 	{
-		const std::string why = refusal({entry("shop", {"hidden"}), entry("farm", {"hidden"})});
+		const std::string why = rejection({entry("shop", {"hidden"}), entry("farm", {"hidden"})});
 		CPPUNIT_ASSERT(std::string::npos != why.find("holds a key of another customer"));
 		CPPUNIT_ASSERT(std::string::npos == why.find("hidden"));
 	}
 
-	void key_listed_twice_by_one_customer_is_taken()
+	void key_listed_twice_by_one_customer_is_accepted()
 	{
 		CPPUNIT_ASSERT(nullptr != built({entry("shop", {"k1", "k1"})}).find("k1"));
 	}
 
-	void customer_named_twice_is_refused()
+	void customer_listed_twice_is_rejected()
 	{
 		CPPUNIT_ASSERT_EQUAL(std::string("customer shop is named twice"),
-		    refusal({entry("shop", {"k1"}), entry("shop", {"k2"})}));
+		    rejection({entry("shop", {"k1"}), entry("shop", {"k2"})}));
 	}
 
-	void customer_with_an_empty_key_is_refused()
+	void customer_with_an_empty_key_is_rejected()
 	{
 		CPPUNIT_ASSERT_EQUAL(
-		    std::string("customer shop has an empty key at place 2"), refusal({entry("shop", {"k1", ""})}));
-		CPPUNIT_ASSERT_EQUAL(std::string("customer  has no name"), refusal({entry("", {"k1"})}));
-		CPPUNIT_ASSERT(std::string::npos != refusal({entry("a\r\nb", {})}).find("control characters"));
+		    std::string("customer shop has an empty key at place 2"), rejection({entry("shop", {"k1", ""})}));
+		CPPUNIT_ASSERT_EQUAL(std::string("customer  has no name"), rejection({entry("", {"k1"})}));
+		CPPUNIT_ASSERT(std::string::npos != rejection({entry("a\r\nb", {})}).find("control characters"));
 	}
 
-	void customer_with_an_impossible_limit_is_refused()
+	void customer_with_an_impossible_limit_is_rejected()
 	{
-		for (const double absurd : {-1.0, std::nan(""), std::numeric_limits<double>::infinity(), 1e12})
+		for (const double impossible : {-1.0, std::nan(""), std::numeric_limits<double>::infinity(), 1e12})
 		{
 			customer_entry rate = entry("shop", {"k1"});
-			rate.who.limit.per_s = absurd;
+			rate.who.limit.per_s = impossible;
 			customer_entry burst = entry("shop", {"k1"});
-			burst.who.limit.burst = absurd;
+			burst.who.limit.burst = impossible;
 			CPPUNIT_ASSERT_EQUAL(
-			    std::string("customer shop has an impossible rate or burst"), refusal({rate}));
+			    std::string("customer shop has an impossible rate or burst"), rejection({rate}));
 			CPPUNIT_ASSERT_EQUAL(
-			    std::string("customer shop has an impossible rate or burst"), refusal({burst}));
+			    std::string("customer shop has an impossible rate or burst"), rejection({burst}));
 		}
 	}
 
-	void homes_of_route_and_customer_both_bind()
+	void home_regions_of_route_and_customer_are_intersected()
 	{
 		using names = std::vector<std::string>;
 		CPPUNIT_ASSERT(common_homes({}, {}).regions.empty() && !common_homes({}, {}).none_left);
--- a/tests/steering_news_spread_test.cpp
+++ b/tests/steering_news_spread_test.cpp
@@ -1,6 +1,9 @@
 // Copyright 2026 the larkrack developers. All rights reserved.
 // License: BSD 2-Clause, see LICENSE.
 
+/// @file
+/// Distribution of the store's changes from a reader to the other nodes of its region.
+
 #include "fixtures.h"
 
 #include "steering/news_spread_p.h"
@@ -12,11 +15,11 @@
 class news_spread_test : public CppUnit::TestFixture
 {
 	CPPUNIT_TEST_SUITE(news_spread_test);
-	CPPUNIT_TEST(few_changes_are_told_and_many_announced);
-	CPPUNIT_TEST(small_fleet_is_told_directly);
-	CPPUNIT_TEST(large_region_is_reached_whole_by_few_datagrams_of_each_node);
-	CPPUNIT_TEST(readers_choose_other_nodes_to_tell_on);
-	CPPUNIT_TEST(news_of_the_own_failure_domain_or_of_strangers_are_not_told_on);
+	CPPUNIT_TEST(few_changes_are_sent_and_many_announced);
+	CPPUNIT_TEST(small_fleet_is_sent_changes_directly);
+	CPPUNIT_TEST(large_region_is_fully_reached_with_few_datagrams_of_each_node);
+	CPPUNIT_TEST(readers_choose_different_forwarding_nodes);
+	CPPUNIT_TEST(changes_from_the_own_failure_domain_or_unknown_senders_are_not_forwarded);
 	CPPUNIT_TEST_SUITE_END();
 
 protected:
@@ -46,7 +49,7 @@
 		return some;
 	}
 
-	void few_changes_are_told_and_many_announced()
+	void few_changes_are_sent_and_many_announced()
 	{
 		CPPUNIT_ASSERT(telling::announcement == plan_telling(0, true));
 		CPPUNIT_ASSERT(telling::datagrams == plan_telling(1, true));
@@ -56,60 +59,61 @@
 		CPPUNIT_ASSERT(telling::announcement == plan_telling(0, false));
 	}
 
-	void small_fleet_is_told_directly()
+	void small_fleet_is_sent_changes_directly()
 	{
 		const std::vector<node_heartbeat> nodes = region_of(9, 3);
 		CPPUNIT_ASSERT_EQUAL(std::size_t(8), first_told(nodes[0], others(nodes, nodes[0]), false).size());
 		CPPUNIT_ASSERT(!tells_on(nodes[0], &nodes[1], false));
 	}
 
-	void large_region_is_reached_whole_by_few_datagrams_of_each_node()
+	void large_region_is_fully_reached_with_few_datagrams_of_each_node()
 	{
 		const std::vector<node_heartbeat> nodes = region_of(98, 3);
 		const node_heartbeat& reader = nodes[0];
 		std::set<std::string> reached{reader.node.text};
 		const std::vector<const node_heartbeat*> first = first_told(reader, others(nodes, reader), true);
 		CPPUNIT_ASSERT(first.size() <= 36);
-		for (const node_heartbeat* told : first)
+		for (const node_heartbeat* recipient : first)
 		{
-			reached.insert(told->node.text);
-			if (!tells_on(*told, &reader, true))
+			reached.insert(recipient->node.text);
+			if (!tells_on(*recipient, &reader, true))
 			{
 				continue;
 			}
-			int told_on = 0;
-			for (const node_heartbeat* other : others(nodes, *told))
+			int forwarded = 0;
+			for (const node_heartbeat* other : others(nodes, *recipient))
 			{
-				const bool same = other->domain == told->domain;
-				told_on += same ? 1 : 0;
+				const bool same = other->domain == recipient->domain;
+				forwarded += same ? 1 : 0;
 				if (same)
 				{
 					reached.insert(other->node.text);
 				}
 			}
-			CPPUNIT_ASSERT(told_on <= 33);
+			CPPUNIT_ASSERT(forwarded <= 33);
 		}
 		CPPUNIT_ASSERT_EQUAL(std::size_t(98), reached.size());
 	}
 
-	void readers_choose_other_nodes_to_tell_on()
+	void readers_choose_different_forwarding_nodes()
 	{
 		const std::vector<node_heartbeat> nodes = region_of(98, 3);
-		std::set<std::string> telling_on;
+		std::set<std::string> forwarders;
 		for (std::size_t reader = 0; reader < 30; reader += 3)
 		{
-			for (const node_heartbeat* told : first_told(nodes[reader], others(nodes, nodes[reader]), true))
+			for (const node_heartbeat* recipient :
+			    first_told(nodes[reader], others(nodes, nodes[reader]), true))
 			{
-				if (told->domain == nodes[1].domain)
+				if (recipient->domain == nodes[1].domain)
 				{
-					telling_on.insert(told->node.text);
+					forwarders.insert(recipient->node.text);
 				}
 			}
 		}
-		CPPUNIT_ASSERT(telling_on.size() > 5);
+		CPPUNIT_ASSERT(forwarders.size() > 5);
 	}
 
-	void news_of_the_own_failure_domain_or_of_strangers_are_not_told_on()
+	void changes_from_the_own_failure_domain_or_unknown_senders_are_not_forwarded()
 	{
 		std::vector<node_heartbeat> nodes = region_of(6, 3);
 		CPPUNIT_ASSERT(tells_on(nodes[0], &nodes[1], true));
--- a/tests/steering_nodes_test.cpp
+++ b/tests/steering_nodes_test.cpp
@@ -1,6 +1,10 @@
 // Copyright 2026 the larkrack developers. All rights reserved.
 // License: BSD 2-Clause, see LICENSE.
 
+/// @file
+/// Decisions about the nodes of a fleet: lookup responses, liveness and heartbeat schedules, store readers,
+/// and shared budgets.
+
 #include "fixtures.h"
 
 #include "steering/fleet_rates_p.h"
@@ -17,7 +21,7 @@
 
 namespace larkrack
 {
-/// Nodes as their heartbeats tell, in the order of their names.
+/// Provides nodes as their heartbeats describe them, ordered by name.
 class steering_nodes_fixture : public CppUnit::TestFixture
 {
 public:
@@ -39,15 +43,15 @@
 
 	std::vector<const node_heartbeat*> all_but(const std::string& _name = "") const
 	{
-		std::vector<const node_heartbeat*> some;
+		std::vector<const node_heartbeat*> selected;
 		for (const auto& [name, node] : m_nodes)
 		{
 			if (name != _name)
 			{
-				some.push_back(&node);
+				selected.push_back(&node);
 			}
 		}
-		return some;
+		return selected;
 	}
 
 	std::map<std::string, node_heartbeat> m_nodes;
@@ -56,14 +60,14 @@
 class lookup_answer_test : public steering_nodes_fixture
 {
 	CPPUNIT_TEST_SUITE(lookup_answer_test);
-	CPPUNIT_TEST(own_region_with_ready_nodes_names_all_of_them_and_no_others);
-	CPPUNIT_TEST(home_region_first_that_has_any_is_named);
-	CPPUNIT_TEST(any_region_when_neither_has_a_node);
-	CPPUNIT_TEST(none_ready_names_this_node);
-	CPPUNIT_TEST(caller_without_a_region_is_told_all);
-	CPPUNIT_TEST(large_region_names_64_nodes);
-	CPPUNIT_TEST(large_region_nodes_are_named_alike_over_all_answering_nodes);
-	CPPUNIT_TEST(dead_nodes_are_never_named);
+	CPPUNIT_TEST(own_region_with_ready_nodes_lists_all_of_them_and_no_others);
+	CPPUNIT_TEST(home_region_first_with_a_ready_node_is_listed);
+	CPPUNIT_TEST(any_region_is_listed_if_neither_has_a_node);
+	CPPUNIT_TEST(none_ready_lists_this_node);
+	CPPUNIT_TEST(caller_without_a_region_gets_all_nodes);
+	CPPUNIT_TEST(large_region_lists_64_nodes);
+	CPPUNIT_TEST(large_region_nodes_are_listed_evenly_over_all_responding_nodes);
+	CPPUNIT_TEST(dead_nodes_are_never_listed);
 	CPPUNIT_TEST_SUITE_END();
 
 protected:
@@ -79,13 +83,13 @@
 		    _answering);
 	}
 
-	void large_region_nodes_are_named_alike_over_all_answering_nodes()
+	void large_region_nodes_are_listed_evenly_over_all_responding_nodes()
 	{
 		for (int i = 0; i < 98; ++i)
 		{
 			add("n" + std::to_string(i));
 		}
-		std::map<std::string, int> named;
+		std::map<std::string, int> listed;
 		for (int i = 0; i < 98; ++i)
 		{
 			const std::string answering = "n" + std::to_string(i) + ":80";
@@ -93,17 +97,17 @@
 			CPPUNIT_ASSERT(addresses == ask("east", {}, answering).addresses);
 			for (const std::string& address : addresses)
 			{
-				++named[address];
+				++listed[address];
 			}
 		}
-		CPPUNIT_ASSERT_EQUAL(std::size_t(98), named.size());
-		for (const auto& [address, times] : named)
+		CPPUNIT_ASSERT_EQUAL(std::size_t(98), listed.size());
+		for (const auto& [address, times] : listed)
 		{
 			CPPUNIT_ASSERT(times > 64 * 8 / 10 && times < 64 * 12 / 10);
 		}
 	}
 
-	void own_region_with_ready_nodes_names_all_of_them_and_no_others()
+	void own_region_with_ready_nodes_lists_all_of_them_and_no_others()
 	{
 		add("n1");
 		add("n2");
@@ -113,7 +117,7 @@
 		CPPUNIT_ASSERT((std::vector<std::string>{"n1:80", "n2:80"}) == decision.addresses);
 	}
 
-	void home_region_first_that_has_any_is_named()
+	void home_region_first_with_a_ready_node_is_listed()
 	{
 		add("n1", "north");
 		add("n2", "west");
@@ -122,7 +126,7 @@
 		CPPUNIT_ASSERT(std::vector<std::string>{"n2:80"} == decision.addresses);
 	}
 
-	void any_region_when_neither_has_a_node()
+	void any_region_is_listed_if_neither_has_a_node()
 	{
 		add("n1", "north");
 		const lookup_decision decision = ask("east", {region_name("south")});
@@ -130,21 +134,21 @@
 		CPPUNIT_ASSERT(std::vector<std::string>{"n1:80"} == decision.addresses);
 	}
 
-	void none_ready_names_this_node()
+	void none_ready_lists_this_node()
 	{
 		const lookup_decision decision = ask("east");
 		CPPUNIT_ASSERT(lookup_reason::none_ready == decision.reason);
 		CPPUNIT_ASSERT(std::vector<std::string>{"self:80"} == decision.addresses);
 	}
 
-	void caller_without_a_region_is_told_all()
+	void caller_without_a_region_gets_all_nodes()
 	{
 		add("n1", "north");
 		add("n2", "west");
 		CPPUNIT_ASSERT_EQUAL(std::size_t(2), ask("").addresses.size());
 	}
 
-	void large_region_names_64_nodes()
+	void large_region_lists_64_nodes()
 	{
 		for (int i = 100; i < 200; ++i)
 		{
@@ -153,7 +157,7 @@
 		CPPUNIT_ASSERT_EQUAL(std::size_t(64), ask("east").addresses.size());
 	}
 
-	void dead_nodes_are_never_named()
+	void dead_nodes_are_never_listed()
 	{
 		add("n1");
 		add("n2", "west");
@@ -170,22 +174,21 @@
 {
 	CPPUNIT_TEST_SUITE(node_liveness_test);
 	CPPUNIT_TEST(interval_grows_with_the_failure_domain_from_100_ms_on);
-	CPPUNIT_TEST(rounds_in_a_small_fleet_are_one_and_four_for_far_nodes);
-	CPPUNIT_TEST(rounds_in_a_large_fleet_keep_the_datagrams_a_second);
-	CPPUNIT_TEST(silence_small_fleet_is_900_ms_and_2_s_for_far_nodes);
-	CPPUNIT_TEST(silence_large_fleet_is_five_heartbeats_and_four_times_that_for_far_nodes);
-	CPPUNIT_TEST(
-	    silence_where_failure_domains_send_digests_is_that_of_two_and_a_half_heartbeats_and_three_digests);
-	CPPUNIT_TEST(digest_passed_on_reaches_each_node_once);
+	CPPUNIT_TEST(divisor_in_a_small_fleet_is_one_and_four_for_far_nodes);
+	CPPUNIT_TEST(divisor_in_a_large_fleet_bounds_the_datagrams_per_second);
+	CPPUNIT_TEST(timeout_small_fleet_is_900_ms_and_2_s_for_far_nodes);
+	CPPUNIT_TEST(timeout_large_fleet_is_five_heartbeats_and_four_times_that_for_far_nodes);
+	CPPUNIT_TEST(timeout_with_digests_is_two_and_a_half_heartbeats_and_three_digests);
+	CPPUNIT_TEST(digest_relayed_reaches_each_node_once);
 	CPPUNIT_TEST(delegates_are_two_of_a_failure_domain);
-	CPPUNIT_TEST(silence_of_nodes_that_neighbours_tell_of_is_short);
-	CPPUNIT_TEST(silence_of_a_node_alone_in_its_failure_domain_is_that_of_its_heartbeats);
-	CPPUNIT_TEST(proximity_goes_by_region_and_failure_domain);
-	CPPUNIT_TEST(turn_of_far_node_comes_once_in_its_rounds);
-	CPPUNIT_TEST(addresses_first_heartbeats_tell_them_then_each_node_hears_them_at_one_turn_of_four);
-	CPPUNIT_TEST(address_without_an_answer_is_tried_often_at_first_only);
+	CPPUNIT_TEST(timeout_of_nodes_that_neighbours_report_is_short);
+	CPPUNIT_TEST(timeout_of_a_node_alone_in_its_failure_domain_depends_on_its_heartbeats);
+	CPPUNIT_TEST(proximity_depends_on_region_and_failure_domain);
+	CPPUNIT_TEST(heartbeat_to_a_far_node_is_due_once_in_its_divisor);
+	CPPUNIT_TEST(addresses_are_in_the_first_heartbeats_and_then_in_one_of_four_to_each_node);
+	CPPUNIT_TEST(address_without_a_reply_is_tried_each_heartbeat_only_at_first);
 	CPPUNIT_TEST(forgotten_after_a_minute);
-	CPPUNIT_TEST(outdated_lower_sequence_or_life_unless_the_former_one_is_silent);
+	CPPUNIT_TEST(outdated_lower_sequence_or_incarnation_unless_the_former_one_timed_out);
 	CPPUNIT_TEST_SUITE_END();
 
 protected:
@@ -201,51 +204,51 @@
 		CPPUNIT_ASSERT(ms(384) == node_liveness(32, 7775).interval());
 	}
 
-	void rounds_in_a_small_fleet_are_one_and_four_for_far_nodes()
+	void divisor_in_a_small_fleet_is_one_and_four_for_far_nodes()
 	{
-		const node_liveness pace(2, 8);
-		CPPUNIT_ASSERT_EQUAL(1, pace.rounds(proximity::region));
-		CPPUNIT_ASSERT_EQUAL(4, pace.rounds(proximity::far));
-		CPPUNIT_ASSERT(!pace.tells_neighbours());
+		const node_liveness liveness(2, 8);
+		CPPUNIT_ASSERT_EQUAL(1, liveness.rounds(proximity::region));
+		CPPUNIT_ASSERT_EQUAL(4, liveness.rounds(proximity::far));
+		CPPUNIT_ASSERT(!liveness.tells_neighbours());
 	}
 
-	void rounds_in_a_large_fleet_keep_the_datagrams_a_second()
+	void divisor_in_a_large_fleet_bounds_the_datagrams_per_second()
 	{
 		for (const std::size_t nodes : {294U, 1000U, 7775U})
 		{
 			const std::size_t in_domain = nodes / 9;
-			const node_liveness pace(in_domain, nodes);
-			const double per_s = 1000.0 / static_cast<double>(pace.interval().count());
+			const node_liveness liveness(in_domain, nodes);
+			const double per_s = 1000.0 / static_cast<double>(liveness.interval().count());
 			const auto beyond = static_cast<double>(nodes - in_domain);
-			CPPUNIT_ASSERT(pace.tells_neighbours());
+			CPPUNIT_ASSERT(liveness.tells_neighbours());
 			CPPUNIT_ASSERT(per_s * static_cast<double>(in_domain) <= 84.0);
-			CPPUNIT_ASSERT(per_s * beyond / pace.rounds(proximity::region) <= 84.0);
+			CPPUNIT_ASSERT(per_s * beyond / liveness.rounds(proximity::region) <= 84.0);
 		}
 	}
 
-	void silence_small_fleet_is_900_ms_and_2_s_for_far_nodes()
+	void timeout_small_fleet_is_900_ms_and_2_s_for_far_nodes()
 	{
-		const node_liveness pace(2, 8);
-		CPPUNIT_ASSERT(ms(900) == pace.longest_silence(proximity::domain, 2));
-		CPPUNIT_ASSERT(ms(900) == pace.longest_silence(proximity::region, 2));
-		CPPUNIT_ASSERT(ms(2000) == pace.longest_silence(proximity::far, 2));
+		const node_liveness liveness(2, 8);
+		CPPUNIT_ASSERT(ms(900) == liveness.longest_silence(proximity::domain, 2));
+		CPPUNIT_ASSERT(ms(900) == liveness.longest_silence(proximity::region, 2));
+		CPPUNIT_ASSERT(ms(2000) == liveness.longest_silence(proximity::far, 2));
 	}
 
-	void silence_large_fleet_is_five_heartbeats_and_four_times_that_for_far_nodes()
+	void timeout_large_fleet_is_five_heartbeats_and_four_times_that_for_far_nodes()
 	{
-		const node_liveness pace(60, 60);
-		CPPUNIT_ASSERT(ms(3600) == pace.longest_own_silence(proximity::region));
-		CPPUNIT_ASSERT(ms(14400) == pace.longest_own_silence(proximity::far));
+		const node_liveness liveness(60, 60);
+		CPPUNIT_ASSERT(ms(3600) == liveness.longest_own_silence(proximity::region));
+		CPPUNIT_ASSERT(ms(14400) == liveness.longest_own_silence(proximity::far));
 	}
 
-	/// Look-ups may name a dead node of the region for 8 s.
-	void silence_where_failure_domains_send_digests_is_that_of_two_and_a_half_heartbeats_and_three_digests()
+	/// Lookups may list a dead node of the region for at most 8 s.
+	void timeout_with_digests_is_two_and_a_half_heartbeats_and_three_digests()
 	{
-		const node_liveness pace(109, 985);
-		CPPUNIT_ASSERT(pace.tells_by_digests() && !node_liveness(32, 294).tells_by_digests());
-		CPPUNIT_ASSERT(ms(3270) == pace.longest_silence(proximity::domain, 109));
-		CPPUNIT_ASSERT(ms(3270 + 3000) == pace.longest_silence(proximity::region, 109));
-		CPPUNIT_ASSERT(ms(3270 + 12000) == pace.longest_silence(proximity::far, 109));
+		const node_liveness liveness(109, 985);
+		CPPUNIT_ASSERT(liveness.tells_by_digests() && !node_liveness(32, 294).tells_by_digests());
+		CPPUNIT_ASSERT(ms(3270) == liveness.longest_silence(proximity::domain, 109));
+		CPPUNIT_ASSERT(ms(3270 + 3000) == liveness.longest_silence(proximity::region, 109));
+		CPPUNIT_ASSERT(ms(3270 + 12000) == liveness.longest_silence(proximity::far, 109));
 	}
 
 	static std::vector<node_name> names_of(std::size_t _nodes)
@@ -261,19 +264,19 @@
 	static std::vector<const node_name*> all_but(
 	    const std::vector<node_name>& _names, const node_name* _left_out)
 	{
-		std::vector<const node_name*> some;
-		some.reserve(_names.size());
+		std::vector<const node_name*> selected;
+		selected.reserve(_names.size());
 		for (const node_name& name : _names)
 		{
 			if (&name != _left_out)
 			{
-				some.push_back(&name);
+				selected.push_back(&name);
 			}
 		}
-		return some;
+		return selected;
 	}
 
-	void digest_passed_on_reaches_each_node_once()
+	void digest_relayed_reaches_each_node_once()
 	{
 		const std::vector<node_name> names = names_of(110);
 		const std::vector<const node_name*> domain = all_but(names, nullptr);
@@ -301,7 +304,7 @@
 				CPPUNIT_ASSERT_EQUAL(1, times);
 			}
 		}
-		CPPUNIT_ASSERT(relays_of_all.size() > 60); // Others pass on the next digest.
+		CPPUNIT_ASSERT(relays_of_all.size() > 60); // Other nodes relay the next digest.
 	}
 
 	void delegates_are_two_of_a_failure_domain()
@@ -316,22 +319,22 @@
 		CPPUNIT_ASSERT(is_delegate(names[0], {}));
 	}
 
-	void silence_of_nodes_that_neighbours_tell_of_is_short()
+	void timeout_of_nodes_that_neighbours_report_is_short()
 	{
-		const node_liveness pace(32, 294);
-		CPPUNIT_ASSERT(ms(1920) == pace.longest_silence(proximity::domain, 32));
-		CPPUNIT_ASSERT(ms(1920 + 10 * 108) == pace.longest_silence(proximity::region, 32));
-		CPPUNIT_ASSERT(ms(1920 + 10 * 432) == pace.longest_silence(proximity::far, 32));
+		const node_liveness liveness(32, 294);
+		CPPUNIT_ASSERT(ms(1920) == liveness.longest_silence(proximity::domain, 32));
+		CPPUNIT_ASSERT(ms(1920 + 10 * 108) == liveness.longest_silence(proximity::region, 32));
+		CPPUNIT_ASSERT(ms(1920 + 10 * 432) == liveness.longest_silence(proximity::far, 32));
 	}
 
-	void silence_of_a_node_alone_in_its_failure_domain_is_that_of_its_heartbeats()
+	void timeout_of_a_node_alone_in_its_failure_domain_depends_on_its_heartbeats()
 	{
-		const node_liveness pace(32, 294);
-		CPPUNIT_ASSERT(ms(5 * 9 * 384) == pace.longest_silence(proximity::region, 0));
-		CPPUNIT_ASSERT(pace.longest_silence(proximity::region, 1) <= ms(5 * 9 * 384));
+		const node_liveness liveness(32, 294);
+		CPPUNIT_ASSERT(ms(5 * 9 * 384) == liveness.longest_silence(proximity::region, 0));
+		CPPUNIT_ASSERT(liveness.longest_silence(proximity::region, 1) <= ms(5 * 9 * 384));
 	}
 
-	void proximity_goes_by_region_and_failure_domain()
+	void proximity_depends_on_region_and_failure_domain()
 	{
 		node_heartbeat own = add("n1");
 		own.domain = domain_name("east-a");
@@ -343,18 +346,18 @@
 		CPPUNIT_ASSERT(proximity::far == node_liveness::proximity_of(own, other));
 	}
 
-	void turn_of_far_node_comes_once_in_its_rounds()
+	void heartbeat_to_a_far_node_is_due_once_in_its_divisor()
 	{
-		for (const node_liveness pace : {node_liveness(2, 8), node_liveness(32, 294)})
+		for (const node_liveness liveness : {node_liveness(2, 8), node_liveness(32, 294)})
 		{
-			const int rounds = pace.rounds(proximity::far);
+			const int rounds = liveness.rounds(proximity::far);
 			for (int node = 0; node < 20; ++node)
 			{
 				int turns = 0;
 				for (int sequence = 1; sequence <= 2 * rounds; ++sequence)
 				{
 					const node_name name("n" + std::to_string(node));
-					turns += pace.is_turn(node_name("self"), name, static_cast<std::uint64_t>(sequence),
+					turns += liveness.is_turn(node_name("self"), name, static_cast<std::uint64_t>(sequence),
 					             proximity::far)
 					             ? 1
 					             : 0;
@@ -364,27 +367,27 @@
 		}
 	}
 
-	void addresses_first_heartbeats_tell_them_then_each_node_hears_them_at_one_turn_of_four()
+	void addresses_are_in_the_first_heartbeats_and_then_in_one_of_four_to_each_node()
 	{
-		for (const node_liveness pace : {node_liveness(2, 8), node_liveness(32, 294)})
+		for (const node_liveness liveness : {node_liveness(2, 8), node_liveness(32, 294)})
 		{
-			CPPUNIT_ASSERT(pace.tells_addresses(1) && pace.tells_addresses(2));
-			const auto rounds = static_cast<std::uint64_t>(pace.rounds(proximity::far));
+			CPPUNIT_ASSERT(liveness.tells_addresses(1) && liveness.tells_addresses(2));
+			const auto rounds = static_cast<std::uint64_t>(liveness.rounds(proximity::far));
 			for (int node = 0; node < 20; ++node)
 			{
 				int heard = 0;
 				for (std::uint64_t sequence = 4 * rounds; sequence < 8 * rounds; ++sequence)
 				{
 					const node_name name("n" + std::to_string(node));
-					const bool turn = pace.is_turn(node_name("self"), name, sequence, proximity::far);
-					heard += turn && pace.tells_addresses(sequence) ? 1 : 0;
+					const bool turn = liveness.is_turn(node_name("self"), name, sequence, proximity::far);
+					heard += turn && liveness.tells_addresses(sequence) ? 1 : 0;
 				}
 				CPPUNIT_ASSERT_EQUAL(1, heard);
 			}
 		}
 	}
 
-	void address_without_an_answer_is_tried_often_at_first_only()
+	void address_without_a_reply_is_tried_each_heartbeat_only_at_first()
 	{
 		CPPUNIT_ASSERT(node_liveness::is_tried_often(0));
 		CPPUNIT_ASSERT(node_liveness::is_tried_often(7));
@@ -397,19 +400,19 @@
 		CPPUNIT_ASSERT(node_liveness::forgotten(std::chrono::milliseconds(60001)));
 	}
 
-	void outdated_lower_sequence_or_life_unless_the_former_one_is_silent()
+	void outdated_lower_sequence_or_incarnation_unless_the_former_one_timed_out()
 	{
 		node_heartbeat last;
 		last.incarnation = 1000;
 		last.sequence = 5;
 		node_heartbeat late = last;
 		late.sequence = 4;
-		node_heartbeat reborn;
-		reborn.incarnation = 10;
-		reborn.sequence = 9;
+		node_heartbeat restarted;
+		restarted.incarnation = 10;
+		restarted.sequence = 9;
 		CPPUNIT_ASSERT(node_liveness::outdated(late, last, true));
-		CPPUNIT_ASSERT(node_liveness::outdated(reborn, last, true));
-		CPPUNIT_ASSERT(!node_liveness::outdated(reborn, last, false));
+		CPPUNIT_ASSERT(node_liveness::outdated(restarted, last, true));
+		CPPUNIT_ASSERT(!node_liveness::outdated(restarted, last, false));
 		CPPUNIT_ASSERT(!node_liveness::outdated(last, last, true));
 	}
 };
@@ -417,16 +420,16 @@
 class store_readers_test : public steering_nodes_fixture
 {
 	CPPUNIT_TEST_SUITE(store_readers_test);
-	CPPUNIT_TEST(reader_three_of_a_region_whatever_the_view);
+	CPPUNIT_TEST(reader_three_of_a_region_in_every_view);
 	CPPUNIT_TEST(reader_stopping_node_does_not_count);
 	CPPUNIT_TEST(reader_alone_in_its_region_reads);
-	CPPUNIT_TEST(peer_none_knows_more_is_none);
-	CPPUNIT_TEST(peer_of_the_own_region_comes_first);
-	CPPUNIT_TEST(peer_with_a_newer_configuration_is_found_whatever_its_revision);
-	CPPUNIT_TEST(wait_for_a_configuration_that_can_not_be_had_grows);
+	CPPUNIT_TEST(peer_none_if_no_node_is_ahead);
+	CPPUNIT_TEST(peer_of_the_own_region_is_preferred);
+	CPPUNIT_TEST(peer_with_a_newer_configuration_is_found_at_any_revision);
+	CPPUNIT_TEST(wait_for_an_unavailable_configuration_grows);
 	CPPUNIT_TEST(peer_changes_with_the_heartbeats);
 	CPPUNIT_TEST(wait_of_a_reader_is_longer);
-	CPPUNIT_TEST(tell_others_only_where_some_do_not_read);
+	CPPUNIT_TEST(changes_are_sent_only_if_some_nodes_do_not_read);
 	CPPUNIT_TEST_SUITE_END();
 
 protected:
@@ -450,7 +453,7 @@
 		return count;
 	}
 
-	void reader_three_of_a_region_whatever_the_view()
+	void reader_three_of_a_region_in_every_view()
 	{
 		add_east(20);
 		CPPUNIT_ASSERT_EQUAL(3, readers());
@@ -471,7 +474,7 @@
 			return std::string();
 		}();
 		m_nodes.at(first).state = node_state::stopping;
-		CPPUNIT_ASSERT_EQUAL(4, readers()); // The three others, and itself until it ends.
+		CPPUNIT_ASSERT_EQUAL(4, readers()); // The three other nodes, and the stopping node until it ends.
 	}
 
 	void reader_alone_in_its_region_reads()
@@ -481,13 +484,13 @@
 		CPPUNIT_ASSERT(plan_reader(m_nodes.at("west1"), all_but("west1")).reads);
 	}
 
-	void peer_none_knows_more_is_none()
+	void peer_none_if_no_node_is_ahead()
 	{
 		add_east(3);
 		CPPUNIT_ASSERT(nullptr == choose_peer(m_nodes.at("n10"), 0, all_but("n10")));
 	}
 
-	void peer_of_the_own_region_comes_first()
+	void peer_of_the_own_region_is_preferred()
 	{
 		add("n1").store_revision = 5;
 		for (int i = 20; i < 40; ++i)
@@ -499,7 +502,7 @@
 		CPPUNIT_ASSERT(region_name("west") == choose_peer(self, 5, all_but("n0"))->region);
 	}
 
-	void peer_with_a_newer_configuration_is_found_whatever_its_revision()
+	void peer_with_a_newer_configuration_is_found_at_any_revision()
 	{
 		add("n1").config_version = 7;
 		node_heartbeat& self = add("n0");
@@ -510,7 +513,7 @@
 		CPPUNIT_ASSERT(nullptr == choose_peer(self, 9, all_but("n0")));
 	}
 
-	void wait_for_a_configuration_that_can_not_be_had_grows()
+	void wait_for_an_unavailable_configuration_grows()
 	{
 		CPPUNIT_ASSERT(std::chrono::milliseconds(60) == wait_before_asking_routes(false, 0));
 		CPPUNIT_ASSERT(std::chrono::milliseconds(120) == wait_before_asking_routes(false, 1));
@@ -539,7 +542,7 @@
 		CPPUNIT_ASSERT(std::chrono::milliseconds(400) == wait_before_asking(true));
 	}
 
-	void tell_others_only_where_some_do_not_read()
+	void changes_are_sent_only_if_some_nodes_do_not_read()
 	{
 		CPPUNIT_ASSERT(all_read(2));
 		CPPUNIT_ASSERT(!all_read(3));
@@ -549,18 +552,18 @@
 class shared_budgets_test : public CppUnit::TestFixture
 {
 	CPPUNIT_TEST_SUITE(shared_budgets_test);
-	CPPUNIT_TEST(census_keeps_the_most_nodes_ever_seen);
-	CPPUNIT_TEST(connections_are_divided_and_never_none);
-	CPPUNIT_TEST(warmup_has_one_sender_whichever_backend_server);
-	CPPUNIT_TEST(warmup_view_of_half_the_region_is_trusted_less_is_not);
+	CPPUNIT_TEST(census_keeps_the_maximum_number_of_nodes);
+	CPPUNIT_TEST(connections_are_divided_and_at_least_one);
+	CPPUNIT_TEST(warmup_has_one_sender_for_each_backend_server);
+	CPPUNIT_TEST(warmup_view_of_half_the_region_is_accepted_a_smaller_one_is_not);
 	CPPUNIT_TEST(warmup_rate_leaves_a_tenth);
-	CPPUNIT_TEST(portions_follow_the_rates_and_sum_up);
-	CPPUNIT_TEST(portion_of_a_node_that_sends_nothing_is_empty_unless_nobody_sends);
+	CPPUNIT_TEST(portions_are_proportional_to_the_rates_and_sum_up);
+	CPPUNIT_TEST(portion_of_a_node_that_sends_nothing_is_empty_unless_no_node_sends);
 	CPPUNIT_TEST(rates_of_others_are_summed_by_region);
 	CPPUNIT_TEST_SUITE_END();
 
 protected:
-	void census_keeps_the_most_nodes_ever_seen()
+	void census_keeps_the_maximum_number_of_nodes()
 	{
 		node_census census;
 		CPPUNIT_ASSERT_DOUBLES_EQUAL(1.0, census.sharers().nodes, 1e-9);
@@ -570,13 +573,13 @@
 		CPPUNIT_ASSERT_EQUAL(std::size_t(3), census.most_in_region());
 	}
 
-	void connections_are_divided_and_never_none()
+	void connections_are_divided_and_at_least_one()
 	{
 		CPPUNIT_ASSERT_DOUBLES_EQUAL(2.5, connections_of_node(20, {8.0}), 1e-9);
 		CPPUNIT_ASSERT_DOUBLES_EQUAL(1.0, connections_of_node(20, {80.0}), 1e-9);
 	}
 
-	void warmup_has_one_sender_whichever_backend_server()
+	void warmup_has_one_sender_for_each_backend_server()
 	{
 		const std::vector<node_name> names{node_name("n1"), node_name("n2"), node_name("n3")};
 		node_ring ring;
@@ -597,7 +600,7 @@
 		}
 	}
 
-	void warmup_view_of_half_the_region_is_trusted_less_is_not()
+	void warmup_view_of_half_the_region_is_accepted_a_smaller_one_is_not()
 	{
 		CPPUNIT_ASSERT(warmup_reason::chosen == plan_warmup(1, 2, true).reason);
 		const warmup_decision cut_off = plan_warmup(1, 4, true);
@@ -610,7 +613,7 @@
 		CPPUNIT_ASSERT_DOUBLES_EQUAL(4.5, warmup_rate(10.0, 0.5), 1e-9);
 	}
 
-	void portions_follow_the_rates_and_sum_up()
+	void portions_are_proportional_to_the_rates_and_sum_up()
 	{
 		const slot_portion low = portion_beside("n1", 30.0, "n2", 10.0);
 		const slot_portion high = portion_beside("n2", 10.0, "n1", 30.0);
@@ -620,7 +623,7 @@
 		CPPUNIT_ASSERT_DOUBLES_EQUAL(1.0, high.end, 1e-9);
 	}
 
-	void portion_of_a_node_that_sends_nothing_is_empty_unless_nobody_sends()
+	void portion_of_a_node_that_sends_nothing_is_empty_unless_no_node_sends()
 	{
 		const slot_portion none = portion_beside("n1", 0.0, "n2", 10.0);
 		CPPUNIT_ASSERT_DOUBLES_EQUAL(0.0, none.end - none.begin, 1e-9);
@@ -628,7 +631,7 @@
 		CPPUNIT_ASSERT_DOUBLES_EQUAL(1.0, all.end - all.begin, 1e-9);
 	}
 
-	/// Demand, bound demand and sent rates of two nodes of one region and one of another.
+	/// Demand, demand bound to one region, and sent rates of two nodes in one region and one node in another.
 	void rates_of_others_are_summed_by_region()
 	{
 		const service_name shop("shop");
@@ -642,7 +645,7 @@
 		CPPUNIT_ASSERT_DOUBLES_EQUAL(20.0, rates.demand_of(shop).at(east), 1e-9);
 		CPPUNIT_ASSERT_DOUBLES_EQUAL(5.0, rates.demand_of(shop).at(region_name("west")), 1e-9);
 		CPPUNIT_ASSERT_DOUBLES_EQUAL(25.0, rates.sent_of(shop, east).all_per_s, 1e-9);
-		CPPUNIT_ASSERT_DOUBLES_EQUAL(10.0, rates.sent_of(shop, east).before_per_s, 1e-9); // n1 alone.
+		CPPUNIT_ASSERT_DOUBLES_EQUAL(10.0, rates.sent_of(shop, east).before_per_s, 1e-9); // n1 only.
 		CPPUNIT_ASSERT_DOUBLES_EQUAL(2.5, rates.bound_of(shop).at(east), 1e-9);
 		CPPUNIT_ASSERT(rates.demand_of(service_name("other")).empty());
 		CPPUNIT_ASSERT_DOUBLES_EQUAL(0.0, rates.sent_of(shop, region_name("north")).all_per_s, 1e-9);
@@ -650,7 +653,8 @@
 		CPPUNIT_ASSERT(rates.demand_of(shop).empty() && rates.bound_of(shop).empty());
 	}
 
-	/// A node that takes requests for a shop and sends all to the east, a tenth of them bound there.
+	/// A node that receives requests for the service "shop" and sends all of them to the region "east"; a
+	/// tenth of them may run only there.
 	static node_heartbeat sender(const std::string& _name, const std::string& _region, double _per_s)
 	{
 		const service_name shop("shop");
@@ -663,7 +667,7 @@
 		return one;
 	}
 
-	/// @returns Part of a node beside one other one.
+	/// @returns Slot portion of a node in a fleet of two.
 	static slot_portion portion_beside(
 	    const std::string& _self, double _own_per_s, const std::string& _other, double _others_per_s)
 	{
