--- a/src/steering/attempt_rules_p.h
+++ b/src/steering/attempt_rules_p.h
@@ -40,9 +40,8 @@
 /// deadline.
 constexpr int k_unsent_limit = 3;
 /// Statuses of responses that this node generates itself. Fixed by HTTP.
-constexpr unsigned k_status_unknown = 502; ///< Bad gateway: the request may have run.
-constexpr unsigned k_status_refused =
-    503; ///< Service unavailable: the request did not run and may be retried later.
+constexpr unsigned k_status_unknown = 502;          ///< Bad gateway: the request may have run.
+constexpr unsigned k_status_refused = 503;          ///< Service unavailable: not run, may be retried later.
 constexpr unsigned k_status_unknown_deadline = 504; ///< Gateway timeout: the request may have run.
 /// Lowest status that counts as a failure of the backend server. Fixed by HTTP.
 constexpr unsigned k_first_failure_status = 500;
--- a/src/steering/backend_choice.cpp
+++ b/src/steering/backend_choice.cpp
@@ -77,7 +77,7 @@
 	{
 		std::make_heap(m_heap.begin(), m_heap.end(), ranks_lower);
 	}
-	std::size_t size() const
+	std::size_t remaining() const
 	{
 		return m_heap.size();
 	}
@@ -108,7 +108,7 @@
 /// a rest; not set if there are none.
 ranked_candidates rank_candidates(const backend_query& _query, steady_time _now, steady_time& _back_at)
 {
-	std::vector<candidate> candidates_by_rank;
+	std::vector<candidate> usable;
 	for (backend_state* backend : *_query.candidates)
 	{
 		const bool version_admitted = _query.versions.admits(backend->registered.version);
@@ -118,7 +118,7 @@
 		}
 		if (backend->usable(_now))
 		{
-			candidates_by_rank.push_back({rank_of(*backend, _query, _now), backend});
+			usable.push_back({rank_of(*backend, _query, _now), backend});
 		}
 		else if (unavailable_only_by_rest(*backend, _now))
 		{
@@ -126,7 +126,7 @@
 			_back_at = steady_time{} == _back_at ? until : std::min(_back_at, until);
 		}
 	}
-	return ranked_candidates(std::move(candidates_by_rank));
+	return ranked_candidates(std::move(usable));
 }
 
 bool is_among(const backend_state& _backend, const std::vector<backend_id>* _ids)
@@ -193,19 +193,19 @@
 	using why = backend_choice_reason;
 	backend_choice none;
 	ranked_candidates candidates_by_rank = rank_candidates(_query, _now, none.back_at);
-	if (0 == candidates_by_rank.size())
+	if (0 == candidates_by_rank.remaining())
 	{
 		none.why = steady_time{} == none.back_at ? why::none_usable : why::all_resting;
 		return none;
 	}
-	const double share_per_s = _query.region_per_s / static_cast<double>(candidates_by_rank.size());
+	const double share_per_s = _query.region_per_s / static_cast<double>(candidates_by_rank.remaining());
 	const auto preferred_count = static_cast<std::size_t>(
-	    k_key_servers +
-	    std::ceil(k_key_servers_by_share * _query.key_part * static_cast<double>(candidates_by_rank.size())));
+	    k_key_servers + std::ceil(k_key_servers_by_share * _query.key_part *
+	                              static_cast<double>(candidates_by_rank.remaining())));
 	/// Candidates rejected so far; those without a token are not counted, so that the next candidate takes
 	/// their place.
 	std::size_t rejected = 0;
-	while (candidates_by_rank.size() > 0)
+	while (candidates_by_rank.remaining() > 0)
 	{
 		backend_state& backend = candidates_by_rank.next();
 		if (is_among(backend, _query.without_token))
--- a/src/steering/backend_choice_p.h
+++ b/src/steering/backend_choice_p.h
@@ -116,12 +116,11 @@
 	slot_portion own_portion;  ///< Slots that are reserved for this node, whatever other nodes send.
 	double region_per_s = 0.0; ///< Requests per second that this node sends to the region.
 	service_limits limits;
-	sharing sharers; ///< Nodes that share the connection limit.
-	const std::vector<backend_id>* tried =
-	    nullptr;                         ///< Backend servers that this request was already sent to.
-	version_rule versions;               ///< Versions that take part during a rollout.
-	limit_tokens_base* tokens = nullptr; ///< Null: limits are not enforced.
-	bool waits_for_token = false;        ///< Whether the request may wait for a token.
+	sharing sharers;                                ///< Nodes that share the connection limit.
+	const std::vector<backend_id>* tried = nullptr; ///< Those that already got this request.
+	version_rule versions;                          ///< Versions that take part during a rollout.
+	limit_tokens_base* tokens = nullptr;            ///< Null: limits are not enforced.
+	bool waits_for_token = false;                   ///< Whether the request may wait for a token.
 	/// Backend servers whose limit had no token for this request. choose_backend() adds those it finds, so
 	/// that no token is requested twice.
 	std::vector<backend_id>* without_token = nullptr;
--- a/tests/rest_model_test.cpp
+++ b/tests/rest_model_test.cpp
@@ -48,8 +48,8 @@
 	double refused = 0.0;  ///< Fraction of all first attempts.
 	double served = 0.0;   ///< Fraction of all requests.
 	double withheld = 0.0; ///< Mean fraction of all pairs of a node and a serving backend server.
-	std::size_t most_in_rest =
-	    0; ///< Requests of one node to a backend server during the remainder of a rest.
+	/// Maximum number of requests of one node to a backend server during the remainder of a rest.
+	std::size_t most_in_rest = 0;
 	std::size_t bytes = 0;
 };
 
