--- a/src/steering/peak_rates.cpp
+++ b/src/steering/peak_rates.cpp
@@ -12,10 +12,10 @@
 {
 	const double passed_s = std::chrono::duration<double>(_now - m_updated_at).count();
 	m_updated_at = _now;
-	const double kept = std::exp(-passed_s / k_peak_memory_s);
+	const double decay = std::exp(-passed_s / k_peak_memory_s);
 	for (auto& [region, peak] : m_peaks)
 	{
-		peak *= kept;
+		peak *= decay;
 	}
 	for (const auto& [region, per_s] : _per_s)
 	{
--- a/src/steering/peak_rates_p.h
+++ b/src/steering/peak_rates_p.h
@@ -2,14 +2,16 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Peak rates: the highest request rate of each region in the recent past.
+/// Peak rates: the highest request rate of each region in the recent past, for one service.
 ///
-/// Decides for which demand the places of affinity keys are planned (region_plan_p.h). Inputs: requests a
-/// second by region, the time (steady clock). Rule: a maximum that decays exponentially; a rate above it
-/// counts at once. A key that changes its place runs once where nobody knows it, so places follow the peaks
-/// of demand and not each of its waves.
+/// Region plans for requests with an affinity key (region_plan_p.h) use these peaks as the demand. Inputs:
+/// requests per second by region, and the time (steady clock).
 ///
-/// Relies on a tick at a steady interval.
+/// Algorithm: a maximum that decays exponentially; a rate above the maximum replaces it at once. A key that
+/// is placed in another region runs once on a backend server that has no state for it, so the placement
+/// follows the peaks of demand and not each short change.
+///
+/// Owns the decaying maxima. Relies on the caller to update them at a steady interval.
 #pragma once
 
 #include "steering/rates_p.h"
@@ -18,16 +20,16 @@
 
 namespace larkrack
 {
-/// Time constant of the decay, seconds. Longer moves keys less often, shorter brings them home sooner after a
-/// burst.
+/// Time constant of the decay, in seconds. Longer: keys are moved less often. Shorter: keys return to their
+/// home region sooner after a burst.
 constexpr double k_peak_memory_s = 30.0;
 
-/// Decaying maxima of one service.
+/// Decaying maxima of the request rates of one service.
 class peak_rates
 {
 public:
-	/// Takes the rates of now.
-	/// @returns The peaks; a region that has no rate any more keeps its own until that has decayed.
+	/// Decays the maxima and raises them to the current rates.
+	/// @returns The peak of each region; a region without a current rate keeps its decaying peak.
 	const rate_by_region& update(const rate_by_region& _per_s, steady_time _now);
 
 private:
--- a/src/steering/planned_stop_p.h
+++ b/src/steering/planned_stop_p.h
@@ -2,58 +2,61 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Decides the steps of a planned stop (graceful shutdown) of a node.
+/// Planned stop: decides the steps of a graceful shutdown of a node.
 ///
-/// Inputs: time since the stop was asked for; the grace, which is the time from then to the kill; whether
-/// any request is open; time since the last request came (steady clock).
+/// Inputs: time since the stop was requested; the grace period (time from the request to the kill); the
+/// number of connections with an open request; time since the last request arrived (steady clock).
 ///
-/// Rule: at once the node is not ready, is left out of look-ups, and its answers close their connections;
-/// that is what the state "stopping" does. Idle connections are closed after k_stop_close_idle, when
-/// look-ups have led callers elsewhere. From k_stop_refuse_part of the grace on new requests are refused as
-/// not run. The process ends when it has been quiet for k_stop_quiet, not before k_stop_earliest, and
-/// k_stop_margin before the kill in any case.
+/// Algorithm: the node state "stopping" at once makes the node not ready, removes it from lookup answers, and
+/// lets its answers close their connections. Idle connections are closed after k_stop_close_idle, when
+/// callers have looked up other nodes. From k_stop_refuse_part of the grace period on, new requests are
+/// refused as not run. The process exits when it has had no request for k_stop_quiet, but not before
+/// k_stop_earliest, and in any case k_stop_margin before the kill.
 ///
-/// Why not another way:
-/// - requests taken until half a second before the end: they were broken off, 20 lost on a day of planned
-///   stops in turn;
-/// - end at once: callers with an older look-up would find nobody; not measured.
+/// Alternatives:
+/// - accepting requests until half a second before the end: those requests were aborted, 20 lost on a day of
+///   planned stops, one node after the other;
+/// - exiting at once: callers with an older lookup answer would find no node; not measured.
 ///
-/// Relies on: the node to ask at each k_stop_step, and the platform to keep to the grace.
+/// Relies on the node to call plan_stop() at each k_stop_step, and on the platform to honour the grace
+/// period.
 #pragma once
 
 #include "base/clock_p.h"
 
 namespace larkrack
 {
-/// Time between two looks at the stop, in milliseconds. Longer: the process ends later than it could. Not
+/// Interval at which the stop is checked, in milliseconds. Longer: the process exits later than it could. Not
 /// measured.
 constexpr std::chrono::milliseconds k_stop_step{100};
 
-/// Why the process ends, or does not yet.
+/// Why the process exits, or does not exit yet.
 enum class stop_reason
 {
-	serving,     ///< It goes on.
-	quiet,       ///< Ends: nothing to do.
-	grace_spent, ///< Ends: the kill is near.
+	serving,     ///< The process keeps running.
+	quiet,       ///< Exits: no requests are left.
+	grace_spent, ///< Exits: the kill is near.
 };
 
-/// What is to be done now; what was done at an earlier step stays done.
+/// Steps to take now; a step that was taken earlier stays taken.
 struct stop_decision
 {
-	bool close_idle = false; ///< Close connections of callers that no request uses.
+	bool close_idle = false; ///< Close caller connections without an open request.
 	bool refuse_new = false; ///< Refuse new requests as not run.
-	bool end = false;        ///< End the process.
+	bool end = false;        ///< Exit the process.
 	stop_reason reason = stop_reason::serving;
 };
 
-/// How far a stop is.
+/// Progress of a stop.
 struct stop_progress
 {
-	steady_time::duration passed{};        ///< Since the stop was asked for.
-	std::chrono::milliseconds grace{0};    ///< From then to the kill.
-	std::size_t busy_connections = 0;      ///< Connections of callers with an open request.
-	steady_time::duration since_request{}; ///< Since the last request came, or the stop began; 0 while busy.
+	steady_time::duration passed{};        ///< Time since the stop was requested.
+	std::chrono::milliseconds grace{0};    ///< From the stop request to the kill.
+	std::size_t busy_connections = 0;      ///< Caller connections with an open request.
+	steady_time::duration since_request{}; ///< Time since the last request, or since the stop request; 0
+	                                       ///< while a request is open.
 };
 
+/// @returns The steps to take now.
 stop_decision plan_stop(const stop_progress& _progress);
 } // namespace larkrack
--- a/src/steering/quota_lender.cpp
+++ b/src/steering/quota_lender.cpp
@@ -10,18 +10,17 @@
 {
 namespace
 {
-/// Longest time that a customer without tokens is told to wait for one. No tuning value: the borrower asks
-/// again after it.
+/// Maximum wait in an answer without tokens. Not a tuning value: the borrower asks again after that time.
 constexpr std::chrono::milliseconds k_longest_wait{5000};
 
-std::chrono::milliseconds time_for(double _tokens, double _per_s)
+std::chrono::milliseconds refill_time(double _tokens, double _per_s)
 {
-	const double longest = static_cast<double>(k_longest_wait.count());
-	const double ms = _per_s > 0.0 ? 1000.0 * std::max(0.0, _tokens) / _per_s : longest;
-	return std::chrono::milliseconds(static_cast<std::int64_t>(std::ceil(std::min(ms, longest))));
+	const double max_ms = static_cast<double>(k_longest_wait.count());
+	const double ms = _per_s > 0.0 ? 1000.0 * std::max(0.0, _tokens) / _per_s : max_ms;
+	return std::chrono::milliseconds(static_cast<std::int64_t>(std::ceil(std::min(ms, max_ms))));
 }
 
-/// Shortest wait that is told, so that it is not taken for k_sent_back.
+/// Minimum wait in an answer without tokens, since a wait of 0 is a redirect (k_sent_back).
 constexpr std::chrono::milliseconds k_least_wait{1};
 
 double seconds(steady_time::duration _time)
@@ -35,48 +34,50 @@
 }
 } // namespace
 
-void quota_lender::set_nodes(double _in_sight, double _most)
+void quota_lender::set_nodes(double _live_nodes, double _max_nodes)
 {
-	m_part = std::min(1.0, _in_sight / std::max(1.0, _most));
+	m_limit_fraction = std::min(1.0, _live_nodes / std::max(1.0, _max_nodes));
 }
 
-quota_lender::bucket& quota_lender::filled(const quota_subject& _subject, lender_rank _rank, steady_time _now)
+quota_lender::bucket& quota_lender::refilled(
+    const quota_subject& _subject, lender_rank _rank, steady_time _now)
 {
-	const double rank_part = lender_rank::first == _rank ? 1.0 : k_stand_in_part;
-	const double per_s = rank_part * m_part * _subject.limit.per_s;
-	const double depth = m_part * (_subject.limit.burst + k_depth_of_slack * m_bounds.slack);
-	bucket& one = m_buckets[_subject.id];
-	if (one.asked_at + k_goes_on < m_settled_since || steady_time{} == one.asked_at)
+	const double rank_fraction = lender_rank::first == _rank ? 1.0 : k_stand_in_part;
+	const double per_s = rank_fraction * m_limit_fraction * _subject.limit.per_s;
+	const double depth = m_limit_fraction * (_subject.limit.burst + k_depth_of_slack * m_bounds.slack);
+	bucket& entry = m_buckets[_subject.id];
+	if (entry.asked_at + k_goes_on < m_nodes_changed_at || steady_time{} == entry.asked_at)
 	{
-		one = bucket();
-		one.filled_at = lender_rank::first == _rank ? m_settled_since : _now;
-		one.asked_at = _now;
+		entry = bucket();
+		entry.refilled_at = lender_rank::first == _rank ? m_nodes_changed_at : _now;
+		entry.asked_at = _now;
 	}
-	if (one.asked_at < m_settled_since)
+	if (entry.asked_at < m_nodes_changed_at)
 	{
-		// Another node may have lent between the last question and the change.
-		one.filled_at = std::max(one.filled_at, m_settled_since);
+		// Another node may have lent tokens between the last borrow request and the change of nodes.
+		entry.refilled_at = std::max(entry.refilled_at, m_nodes_changed_at);
 	}
-	one.unmet *= std::exp(-seconds_between(one.asked_at, _now) / seconds(k_unmet_memory));
-	one.tokens = std::min(depth, one.tokens + per_s * seconds_between(one.filled_at, _now));
-	one.filled_at = _now;
-	one.asked_at = _now;
-	return one;
+	entry.unmet *= std::exp(-seconds_between(entry.asked_at, _now) / seconds(k_unmet_memory));
+	entry.tokens = std::min(depth, entry.tokens + per_s * seconds_between(entry.refilled_at, _now));
+	entry.refilled_at = _now;
+	entry.asked_at = _now;
+	return entry;
 }
 
 quota_grant quota_lender::lend(const quota_subject& _subject, const quota_request& _request, steady_time _now)
 {
-	bucket& one = filled(_subject, _request.rank, _now);
+	bucket& entry = refilled(_subject, _request.rank, _now);
 	const double wanted = _request.wanted;
-	const double granted = std::min(wanted, std::floor(one.tokens));
-	one.tokens -= granted;
-	one.unmet += m_bounds.counts_questions ? (granted < 1.0 ? 1.0 : 0.0) : wanted - granted;
+	const double granted = std::min(wanted, std::floor(entry.tokens));
+	entry.tokens -= granted;
+	entry.unmet += m_bounds.counts_borrow_requests ? (granted < 1.0 ? 1.0 : 0.0) : wanted - granted;
 	quota_grant grant;
 	grant.customer = _request.customer;
 	grant.granted = static_cast<std::uint16_t>(granted);
 	if (granted < 1.0)
 	{
-		grant.wait = k_least_wait + time_for(one.unmet - one.tokens, m_part * _subject.limit.per_s);
+		grant.wait =
+		    k_least_wait + refill_time(entry.unmet - entry.tokens, m_limit_fraction * _subject.limit.per_s);
 	}
 	return grant;
 }
--- a/src/steering/quota_lender_p.h
+++ b/src/steering/quota_lender_p.h
@@ -2,23 +2,23 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Quota lender: how many tokens of a customer this node gives to those that ask.
+/// Quota lender: decides how many tokens of a customer this node lends to the nodes that ask for them.
 ///
-/// Decides the tokens of each answer. Inputs: the customer's limit (requests a second, burst); how many
-/// tokens are wanted; how many nodes are in sight and how many ever were; when the nodes in sight last
-/// changed.
+/// Inputs: the customer's limit (requests per second, burst); the number of tokens wanted; the number of live
+/// nodes and the maximum that were ever live at once; the time at which the set of live nodes last changed.
 ///
-/// Rule: a token bucket for each customer that is asked for. A lender that is new to a customer can not know
-/// what the one before it gave away, so its bucket starts with what came together since the nodes in sight
-/// changed, or since its own start; that of a stand-in starts empty and gets k_stand_in_part of the rate,
-/// since the first one may only be slow. It lends the part of the limit that the nodes in sight are of all
-/// that ever were: the others may be cut off and lend as well. Without tokens it tells how long those who
-/// asked in the last second would have to wait, so that nodes tell a short shortage from a customer far above
-/// its limit.
+/// Algorithm: a token bucket for each customer with borrow requests. A node that becomes the lender of a
+/// customer does not know what its predecessor lent, so the bucket starts with the tokens that have accrued
+/// since the set of live nodes changed, or since this process started. The bucket of a backup lender starts
+/// empty and gets k_stand_in_part of the rate, since the first lender may only be slow. The limit is scaled
+/// by the ratio of live nodes to the maximum ever live: the missing nodes may be cut off by a network
+/// partition and lend as well. Without tokens the answer holds the wait for all tokens that were wanted in
+/// the last second, so that borrowers can tell a short shortage from a customer far above its limit.
 ///
-/// State: one bucket of 56 bytes for each customer that was asked for in the last k_bucket_kept.
+/// Owns one bucket of 56 bytes for each customer with a borrow request in the last k_bucket_kept.
 ///
-/// Relies on: nodes agreeing on the first lender but for some seconds after a change.
+/// Relies on the nodes to agree on the first lender, except for some seconds after a change of the live
+/// nodes.
 #pragma once
 
 #include "steering/quota_p.h"
@@ -27,41 +27,43 @@
 
 namespace larkrack
 {
-/// Part of the rate that a stand-in lends, no unit. Higher: more above the limit while a slow lender lends
-/// beside it. Lower: more is refused until a dead one is known to be dead. With 0.5, and a bucket deeper by a
-/// quarter of the slack, one of 3,000 series of faults in a model took a customer 1% above the bounds.
+/// Fraction of the rate that a backup lender lends. Higher: more requests above the limit while a slow lender
+/// lends as well. Lower: more requests are refused until a crashed lender is known to be dead. With 0.5, and
+/// a bucket that was deeper by a quarter of the slack, one of 3,000 series of faults in a model took a
+/// customer 1% above the bounds.
 constexpr double k_stand_in_part = 0.25;
-/// Part of the slack of the bounds by which a bucket is deeper than the burst. Customers with a small burst
-/// need room for requests that come together.
+/// Fraction of the slack by which a bucket is deeper than the burst. Customers with a small burst need room
+/// for requests that arrive together.
 constexpr double k_depth_of_slack = 0.2;
-/// Time for which the bucket of a customer that nobody asks for is kept. Longer: memory. Shorter: a customer
-/// that comes back starts with less than its burst.
+/// Idle time after which a bucket is removed. Longer: more memory. Shorter: a customer that returns starts
+/// with less than its burst.
 constexpr std::chrono::seconds k_bucket_kept{30};
 
-/// A lender that was asked for a customer so shortly before the nodes changed goes on as it was. Longer: two
-/// bursts when another node was the lender in between. Shorter: customers lose their burst whenever a node
-/// comes or goes. Not measured.
+/// A bucket is kept across a change of the live nodes if it had a borrow request within this time before the
+/// change. Longer: two bursts if another node was the lender in between. Shorter: customers lose their burst
+/// whenever a node joins or leaves. Not measured.
 constexpr std::chrono::milliseconds k_goes_on{1000};
-/// Time over which tokens are counted that were wanted and not there. Not measured.
+/// Time constant of the count of tokens that were wanted but not available. Not measured.
 constexpr std::chrono::milliseconds k_unmet_memory{1000};
 
-/// Lends the tokens of customers whose first lender this node is.
+/// Lends the tokens of the customers for which this node is the first lender or the backup lender.
 class quota_lender
 {
 public:
-	quota_lender(quota_bounds _bounds, steady_time _now) : m_bounds(_bounds), m_settled_since(_now)
+	quota_lender(quota_bounds _bounds, steady_time _now) : m_bounds(_bounds), m_nodes_changed_at(_now)
 	{
 	}
-	/// @param[in] _in_sight Live nodes, this one among them.
-	/// @param[in] _most Most nodes that were ever in sight at once.
-	void set_nodes(double _in_sight, double _most);
-	/// Says that nodes came or went: another node may have been the lender of any customer until now.
+	/// @param[in] _live_nodes Live nodes, including this one.
+	/// @param[in] _max_nodes Maximum number of nodes that were ever live at once.
+	void set_nodes(double _live_nodes, double _max_nodes);
+	/// Handles a change of the live nodes: until now another node may have been the lender of any customer.
 	void on_nodes_changed(steady_time _now)
 	{
-		m_settled_since = _now;
+		m_nodes_changed_at = _now;
 	}
+	/// Lends as many of the wanted tokens as the bucket has.
 	quota_grant lend(const quota_subject& _subject, const quota_request& _request, steady_time _now);
-	/// Drops buckets that nobody asks for.
+	/// Removes buckets without borrow requests.
 	void forget_idle(steady_time _now);
 	std::size_t size() const
 	{
@@ -72,16 +74,16 @@
 	struct bucket
 	{
 		double tokens = 0.0;
-		steady_time filled_at{};
+		steady_time refilled_at{};
 		steady_time asked_at{};
-		double unmet = 0.0; ///< Tokens that were wanted and not there, of about the last second.
+		double unmet = 0.0; ///< Tokens that were wanted but not available, within about the last second.
 	};
-	/// @returns The bucket, filled up to now.
-	bucket& filled(const quota_subject& _subject, lender_rank _rank, steady_time _now);
+	/// @returns The customer's bucket, refilled up to now.
+	bucket& refilled(const quota_subject& _subject, lender_rank _rank, steady_time _now);
 
 	quota_bounds m_bounds;
-	steady_time m_settled_since;
-	double m_part = 1.0; ///< Of the limit, by the nodes in sight.
+	steady_time m_nodes_changed_at;
+	double m_limit_fraction = 1.0; ///< Fraction of the limit that this lender lends, by the live nodes.
 	std::unordered_map<std::uint64_t, bucket> m_buckets;
 };
 } // namespace larkrack
--- a/src/steering/quota_p.h
+++ b/src/steering/quota_p.h
@@ -2,15 +2,17 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Quotas over all nodes: what nodes say to each other about a customer's tokens, and the bounds that hold.
+/// Quotas over all nodes: the messages between nodes about a customer's tokens, and the bounds that the nodes
+/// keep together.
 ///
-/// A request of a customer with a limit takes a token, and so does one to a backend server that names a limit
-/// (backend_limit_p.h); "customer" below stands for either. One node lends the tokens of a customer, the
-/// first on the ring of nodes (quota_lender_p.h); the others borrow from it (quota_borrower_p.h), ahead of
-/// need where they send much, one by one where they send little. No node knows or tells anything of customers
-/// that don't send there, so state and messages grow with requests, not with nodes times customers.
+/// Each request of a customer with a limit takes a token, and so does a request to a backend server that
+/// states a limit (backend_limit_p.h); "customer" below stands for either. One node lends the tokens of a
+/// customer, the first on the ring of nodes (quota_lender_p.h). The other nodes borrow from it
+/// (quota_borrower_p.h): in advance for customers with a high rate there, one by one otherwise. No node holds
+/// or sends anything about customers without requests there, so state and messages grow with requests, not
+/// with nodes times customers.
 ///
-/// Other ways, with figures: docs/design/shifted-customers.md.
+/// Alternatives, with figures: docs/design/shifted-customers.md.
 #pragma once
 
 #include "steering/quota_subject_p.h"
@@ -19,48 +21,50 @@
 
 namespace larkrack
 {
-/// Time after which borrowed tokens are void. Longer: more above the limit. Shorter: tokens of customers with
-/// a changing rate are lost. Not measured.
+/// Time after which borrowed tokens expire. Longer: more requests above the limit. Shorter: tokens of
+/// customers with a changing rate are lost. Not measured.
 constexpr std::chrono::milliseconds k_token_life{1000};
-/// Longest time between two questions in vain. Shorter: more messages about customers above their limit.
-/// Longer: tokens come to few nodes at a time. Not measured.
+/// Maximum pause after a borrow request that got no tokens. Shorter: more messages about customers above
+/// their limit. Longer: tokens reach only few nodes at a time. Not measured.
 constexpr std::chrono::milliseconds k_longest_pause{200};
 
-/// What a customer's requests may sum up to over all nodes, in any window: (rate x window + burst) x (1 +
-/// overage) + slack.
+/// Bound of a customer's requests over all nodes in any window: (rate x window + burst) x (1 + overage) +
+/// slack.
 struct quota_bounds
 {
 	std::chrono::milliseconds window{5000};
-	double overage = 0.0; ///< Part of what the limit allows.
-	double slack = 0.0;   ///< Requests.
-	std::chrono::milliseconds token_life{k_token_life};
-	std::chrono::milliseconds longest_pause{k_longest_pause}; ///< Between two questions in vain.
-	/// Whether a shortage is told by the questions that got nothing, in place of the tokens that they wanted:
-	/// for limits of which one request may try several, so that many want tokens that few need.
-	bool counts_questions = false;
+	double overage = 0.0; ///< Fraction of what the limit allows.
+	double slack = 0.0;   ///< Number of requests.
+	std::chrono::milliseconds token_lifetime{k_token_life};
+	/// Maximum pause after a borrow request that got no tokens.
+	std::chrono::milliseconds max_pause{k_longest_pause};
+	/// Whether a shortage is measured by the borrow requests that got nothing, instead of by the tokens that
+	/// they wanted. For limits of which one request may try several: many tokens are wanted, but few are
+	/// needed.
+	bool counts_borrow_requests = false;
 };
 
-/// What a request that needs a token meets.
+/// Outcome for a request that needs a token.
 enum class quota_answer
 {
-	granted, ///< It has a token.
-	waits,   ///< The lender's answer decides.
+	granted, ///< The request has a token.
+	waits,   ///< The request waits for the lender's answer.
 	over,    ///< The customer is above its limit.
-	unknown, ///< No lender answers.
+	unknown, ///< No lender is responsive.
 };
 
-/// Which lender a node asks.
+/// The lender that a node asks.
 enum class lender_rank : std::uint8_t
 {
-	first,    ///< The first on the ring of nodes.
-	stand_in, ///< The second one, because the first does not answer.
+	first,    ///< The first node on the ring of nodes.
+	stand_in, ///< The second node on the ring, because the first does not answer.
 };
 
-/// A node asks for tokens.
+/// Borrow request of a node.
 struct quota_request
 {
 	std::uint64_t customer = 0; ///< quota_subject::id.
-	std::uint16_t wanted = 0;   ///< Tokens; at least 1.
+	std::uint16_t wanted = 0;   ///< Number of tokens; at least 1.
 	lender_rank rank = lender_rank::first;
 };
 
@@ -68,14 +72,15 @@
 struct quota_grant
 {
 	std::uint64_t customer = 0;
-	std::uint16_t granted = 0;         ///< Tokens; 0: none are left.
-	std::chrono::milliseconds wait{0}; ///< Without tokens: until there may be one.
+	std::uint16_t granted = 0;         ///< Number of tokens; 0: none are left.
+	std::chrono::milliseconds wait{0}; ///< Without tokens: time until there may be a token.
 };
 
-/// Wait in the answer of a stand-in that is answered by the first lender: ask that one again.
+/// Value of quota_grant::wait that redirects the borrower: the backup lender gets answers from the first
+/// lender, so the borrower has to ask that lender again.
 constexpr std::chrono::milliseconds k_sent_back{0};
 
-/// @returns Whether a stand-in's answer sends the node back to the first lender.
+/// @returns Whether the answer of a backup lender redirects the borrower to the first lender.
 inline bool sends_back(const quota_grant& _grant)
 {
 	return 0 == _grant.granted && k_sent_back == _grant.wait;
--- a/src/steering/quota_subject_p.h
+++ b/src/steering/quota_subject_p.h
@@ -2,18 +2,19 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// What nodes keep a common limit for: the requests of a customer, or those to a backend server in need.
+/// Subject of a quota: a customer, or a backend server that states a limit, whose requests all nodes limit
+/// together.
 #pragma once
 
 #include <cstdint>
 
 namespace larkrack
 {
-/// Requests that all nodes together may let through.
+/// Limit on the requests of all nodes together.
 struct quota_limit
 {
-	double per_s = 0.0; ///< Requests a second; 0: no limit.
-	double burst = 0.0; ///< Requests above that, in any span.
+	double per_s = 0.0; ///< Requests per second; 0: no limit.
+	double burst = 0.0; ///< Requests above the rate, in any time span.
 
 	bool limited() const
 	{
@@ -25,7 +26,7 @@
 	}
 };
 
-/// One limit, and the number by which nodes tell each other of it.
+/// A limit, and the id that stands for its subject in messages between nodes.
 struct quota_subject
 {
 	std::uint64_t id = 0;
--- a/src/steering/rates_p.h
+++ b/src/steering/rates_p.h
@@ -2,7 +2,7 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Request rates, in requests a second, by what they belong to.
+/// Request rates, in requests per second, by service and region.
 #pragma once
 
 #include "steering/names_p.h"
@@ -15,7 +15,8 @@
 using rate_by_region = std::map<region_name, double>;
 using rate_by_service_and_region = std::map<service_name, rate_by_region>;
 
-/// @returns Name under which nodes tell each other of a service's requests that may run in one region only.
+/// @returns Name under which heartbeats hold the rate of a service's requests that may run in one region
+/// only.
 inline service_name bound_part_of(const service_name& _service)
 {
 	return service_name(_service.text + "/home");
--- a/src/steering/retry_budget.cpp
+++ b/src/steering/retry_budget.cpp
@@ -9,7 +9,7 @@
 {
 void retry_budget::set_nodes(double _nodes)
 {
-	m_slack = m_slack_of_all / std::max(1.0, _nodes);
+	m_slack = m_total_slack / std::max(1.0, _nodes);
 }
 
 retry_budget::interval& retry_budget::current(steady_time _now)
@@ -27,20 +27,20 @@
 
 void retry_budget::earn(steady_time _now)
 {
-	++current(_now).first_tries;
+	++current(_now).first_attempts;
 }
 
 bool retry_budget::spend(steady_time _now)
 {
 	interval& last = current(_now);
-	int first_tries = 0;
+	int first_attempts = 0;
 	int retries = 0;
-	for (const interval& one : m_intervals)
+	for (const interval& slice : m_intervals)
 	{
-		first_tries += one.first_tries;
-		retries += one.retries;
+		first_attempts += slice.first_attempts;
+		retries += slice.retries;
 	}
-	if (retries + 1 > m_ratio * first_tries + m_slack)
+	if (retries + 1 > m_ratio * first_attempts + m_slack)
 	{
 		return false;
 	}
--- a/src/steering/retry_budget_p.h
+++ b/src/steering/retry_budget_p.h
@@ -2,21 +2,22 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Retry budget: whether this node may send a request of a service once more.
+/// Retry budget: decides whether this node may retry a request of a service.
 ///
 /// Decides on each retry of a request that a backend server may have seen. Inputs: the limits that the
-/// settings give for all nodes together (retries per first try, and a slack of further retries, both within a
-/// sliding window), the number of nodes, and this node's own first tries and retries of the service.
+/// settings give for all nodes together (retries per first attempt, and a slack of further retries, both
+/// within a sliding window), the number of nodes, and this node's own first attempts and retries of the
+/// service.
 ///
-/// Rule: a sliding-window budget. With r the ratio and s the slack, a retry is granted while
-/// `retries + 1 <= k_retry_used_part * (r * first tries + s / nodes)` over the last window. The ratio needs
-/// no division, because each node earns by its own first tries; the slack is divided by the most nodes ever
-/// seen at once, so a node that is cut off keeps to its part.
+/// Algorithm: a budget over a sliding window. With r the ratio and s the slack, a retry is granted while
+/// `retries + 1 <= k_retry_used_part * (r * first attempts + s / nodes)` over the last window. The ratio
+/// needs no division, because each node earns retries by its own first attempts. The slack is divided by the
+/// maximum number of nodes ever seen at once, so a node that is cut off keeps to its share.
 ///
-/// Other ways: none was measured.
+/// Alternatives: none was measured.
 ///
-/// Relies on: the caller counts each first try once (earn) and asks before each retry (spend). Which retries
-/// need the budget at all is decided in attempt_rules_p.h.
+/// Owns the counts of the last window. Relies on the caller to count each first attempt once (earn) and to
+/// ask before each retry (spend). attempt_rules_p.h decides which retries need the budget at all.
 #pragma once
 
 #include "base/clock_p.h"
@@ -25,50 +26,50 @@
 
 namespace larkrack
 {
-/// Part of the permitted retries that is used, no unit. A first try and its retry may fall into different
-/// windows of whoever counts from outside; the rest covers that, and a smaller part would refuse requests
-/// that a retry could serve. Not measured.
+/// Fraction of the permitted retries that is used. For an external observer a first attempt and its retry may
+/// fall into different windows; the unused rest covers that. A smaller fraction would refuse requests that a
+/// retry could serve. Not measured.
 constexpr double k_retry_used_part = 0.75;
-/// Intervals into which a window is divided. More follow the window closer and cost memory for each service.
-/// Not measured.
+/// Number of intervals of a window. More: the counts follow the window more closely, but need more memory for
+/// each service. Not measured.
 constexpr int k_retry_window_intervals = 10;
 
-/// What all nodes together may spend on retries of one service, as the settings give it.
+/// Limits on the retries of one service by all nodes together, as the settings give them.
 struct retry_limits
 {
-	double ratio = 0.0;                  ///< Retries for each first try in any window.
-	double slack = 0.0;                  ///< Further retries in any window, of all nodes together.
+	double ratio = 0.0;                  ///< Retries per first attempt in any window.
+	double slack = 0.0;                  ///< Further retries in any window, by all nodes together.
 	std::chrono::milliseconds window{0}; ///< Length of a window.
 };
 
-/// This node's part of the retries of one service.
+/// This node's share of the retries of one service.
 class retry_budget
 {
 public:
-	/// @param[in] _limits Of all nodes. There is no slack until set_nodes() was called.
+	/// @param[in] _limits Limits of all nodes together. There is no slack until set_nodes() was called.
 	explicit retry_budget(const retry_limits& _limits)
-	    : m_ratio(k_retry_used_part * _limits.ratio), m_slack_of_all(k_retry_used_part * _limits.slack),
+	    : m_ratio(k_retry_used_part * _limits.ratio), m_total_slack(k_retry_used_part * _limits.slack),
 	      m_window(_limits.window)
 	{
 	}
-	/// Sets among how many nodes the slack is divided; less than one counts as one.
+	/// Sets the number of nodes that share the slack; less than one counts as one.
 	void set_nodes(double _nodes);
-	/// Counts a first try.
+	/// Counts a first attempt.
 	void earn(steady_time _now);
-	/// @returns Whether a retry may be made; it is then counted.
+	/// @returns Whether a retry may be made; if so, it is counted.
 	bool spend(steady_time _now);
 
 private:
 	struct interval
 	{
 		steady_time begin{};
-		int first_tries = 0;
+		int first_attempts = 0;
 		int retries = 0;
 	};
 	interval& current(steady_time _now);
 
 	double m_ratio;
-	double m_slack_of_all;
+	double m_total_slack;
 	double m_slack = 0.0;
 	std::chrono::milliseconds m_window;
 	std::deque<interval> m_intervals;
--- a/src/steering/token_bucket.cpp
+++ b/src/steering/token_bucket.cpp
@@ -9,12 +9,12 @@
 {
 bool token_bucket::take(double _per_s, double _burst, steady_time _now)
 {
-	if (steady_time{} != m_filled_at)
+	if (steady_time{} != m_refilled_at)
 	{
-		const double passed_s = std::chrono::duration<double>(_now - m_filled_at).count();
+		const double passed_s = std::chrono::duration<double>(_now - m_refilled_at).count();
 		m_tokens = std::min(_burst, m_tokens + passed_s * _per_s);
 	}
-	m_filled_at = _now;
+	m_refilled_at = _now;
 	if (m_tokens < 1.0)
 	{
 		return false;
--- a/tests/steering_retry_budget_test.cpp
+++ b/tests/steering_retry_budget_test.cpp
@@ -1,6 +1,9 @@
 // Copyright 2026 the larkrack developers. All rights reserved.
 // License: BSD 2-Clause, see LICENSE.
 
+/// @file
+/// Tests of the retry budget and of the token bucket.
+
 #include "fixtures.h"
 
 #include "steering/retry_budget_p.h"
@@ -11,14 +14,14 @@
 class steering_retry_budget_test : public CppUnit::TestFixture
 {
 	CPPUNIT_TEST_SUITE(steering_retry_budget_test);
-	CPPUNIT_TEST(budget_any_window_stays_within_ratio_and_slack);
+	CPPUNIT_TEST(budget_in_any_window_stays_within_ratio_and_slack);
 	CPPUNIT_TEST(budget_slack_is_divided_by_the_nodes);
-	CPPUNIT_TEST(budget_window_passed_earns_nothing_more);
-	CPPUNIT_TEST(bucket_new_is_empty_then_grants_at_its_rate);
+	CPPUNIT_TEST(budget_drops_first_attempts_after_their_window);
+	CPPUNIT_TEST(new_bucket_is_empty_then_grants_at_its_rate);
 	CPPUNIT_TEST_SUITE_END();
 
 protected:
-	void budget_any_window_stays_within_ratio_and_slack()
+	void budget_in_any_window_stays_within_ratio_and_slack()
 	{
 		retry_budget budget(
 		    {0.2 / k_retry_used_part, 5.0 / k_retry_used_part, std::chrono::milliseconds(10000)});
@@ -28,7 +31,7 @@
 		for (int i = 0; i < 6000; ++i)
 		{
 			now += std::chrono::milliseconds(10);
-			// Bursts: none for 5 s, then many.
+			// Bursts: 5 s of first attempts, then 5 s without.
 			if ((i / 500) % 2 == 0)
 			{
 				budget.earn(now);
@@ -41,21 +44,21 @@
 		}
 		for (std::size_t first = 0; first < history.size(); first += 50)
 		{
-			double repeats = 0;
-			double tries = 0;
-			for (const auto& [at, repeat] : history)
+			double retries = 0;
+			double first_attempts = 0;
+			for (const auto& [at, is_retry] : history)
 			{
-				// A judge may take the window of the first tries half a window earlier.
-				repeats += repeat && at >= history[first].first &&
+				// An external observer may take the window of the first attempts half a window earlier.
+				retries += is_retry && at >= history[first].first &&
 				                   at < history[first].first + std::chrono::seconds(10)
 				               ? 1
 				               : 0;
-				tries += !repeat && at >= history[first].first - std::chrono::seconds(5) &&
-				                 at < history[first].first + std::chrono::seconds(10)
-				             ? 1
-				             : 0;
+				first_attempts += !is_retry && at >= history[first].first - std::chrono::seconds(5) &&
+				                          at < history[first].first + std::chrono::seconds(10)
+				                      ? 1
+				                      : 0;
 			}
-			CPPUNIT_ASSERT(repeats <= 0.2 * tries * 1.5 + 5.0);
+			CPPUNIT_ASSERT(retries <= 0.2 * first_attempts * 1.5 + 5.0);
 		}
 	}
 
@@ -83,7 +86,7 @@
 		CPPUNIT_ASSERT_EQUAL(4, granted(one_of_ten, now));
 	}
 
-	void budget_window_passed_earns_nothing_more()
+	void budget_drops_first_attempts_after_their_window()
 	{
 		steady_time now{std::chrono::hours(1)};
 		retry_budget budget({0.2 / k_retry_used_part, 0.0, std::chrono::milliseconds(10000)});
@@ -97,7 +100,7 @@
 		CPPUNIT_ASSERT(!budget.spend(now));
 	}
 
-	void bucket_new_is_empty_then_grants_at_its_rate()
+	void new_bucket_is_empty_then_grants_at_its_rate()
 	{
 		steady_time now{std::chrono::hours(1)};
 		token_bucket bucket;
