--- a/src/steering/region_choice.cpp
+++ b/src/steering/region_choice.cpp
@@ -24,7 +24,8 @@
     const region_distances& _distances, service_shares& _shares, std::minstd_rand& _random)
 {
 	const double position = position_of(_key, _random);
-	// Large answers stay near their caller: the bytes between regions weigh more than what the key saves.
+	// Requests with large answers stay near their caller: the bytes sent between regions cost more than the
+	// key's affinity saves.
 	if (_key.any() && !_route.large_answers)
 	{
 		region_name region = _shares.of_keys.region_of(position);
--- a/src/steering/region_distances_p.h
+++ b/src/steering/region_distances_p.h
@@ -2,19 +2,20 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Distances: whether another region is near enough for a request.
+/// Region distances: round-trip times to other regions, and whether a region is near enough for a request.
 ///
-/// Decides whether a request may go to the region of its key. Inputs: the time that new connections to each
-/// region needed (seconds), and the route's objective (milliseconds), the time within which an answer has its
+/// Decides whether a request may go to the region of its key. Inputs: the connect times of new connections to
+/// each region (seconds), and the route's objective (milliseconds), the time within which an answer has its
 /// full worth.
 ///
-/// Rule: the smallest connect time seen counts as the round trip, since connections are slow for many other
-/// reasons; a longer one moves the estimate by k_rise only, so a path that became longer is learned slowly. A
-/// region is near enough while that takes at most k_near_part of the objective, or nothing is known of it.
+/// Algorithm: the smallest connect time counts as the round-trip time, since connections are slow for many
+/// other reasons. A longer connect time raises the estimate by the weight k_rise only, so a path that became
+/// longer is learned slowly. A region is near enough while the estimate is at most k_near_part of the
+/// objective, or while there is no estimate.
 ///
-/// Other ways: before there was no bound; the way to a far region could use up the objective.
+/// Alternatives: without a bound, the way to a far region could use up the objective.
 ///
-/// Relies on upstream_exchange to time new connections.
+/// Owns one estimate for each region. Relies on upstream_exchange to measure the connect times.
 #pragma once
 
 #include "steering/names_p.h"
@@ -24,30 +25,30 @@
 
 namespace larkrack
 {
-/// Weight of a sample above the estimate, no unit. Larger learns a longer path sooner, and takes more slow
-/// connections for distance. Not measured.
+/// Weight of a sample above the estimate. Larger: a longer path is learned sooner, and more slow connections
+/// are taken for distance. Not measured.
 constexpr double k_rise = 0.01;
-/// Part of the objective that the way there and back may take, no unit. Larger keeps more keys at their place
-/// and leaves less time to run them. Chosen so that 70 ms of 300 ms pass; not measured.
+/// Maximum fraction of the objective that a round trip may take. Larger: more keys stay in their region, and
+/// less time is left to run them. Chosen so that 70 ms pass for an objective of 300 ms; not measured.
 constexpr double k_near_part = 0.25;
 
-/// Round-trip times to regions.
+/// Estimated round-trip times to regions.
 class region_distances
 {
 public:
-	/// Takes the time that a connection to a backend server of a region needed to come up.
+	/// Adds the connect time of a new connection to a backend server of a region.
 	void add_connect_time(const region_name& _region, std::chrono::steady_clock::duration _time)
 	{
 		const double measured_s = std::chrono::duration<double>(_time).count();
-		const auto it = m_seconds.emplace(_region, measured_s).first;
-		double& known_s = it->second;
-		known_s = measured_s < known_s ? measured_s : known_s + k_rise * (measured_s - known_s);
+		const auto it = m_rtt_s.emplace(_region, measured_s).first;
+		double& estimate_s = it->second;
+		estimate_s = measured_s < estimate_s ? measured_s : estimate_s + k_rise * (measured_s - estimate_s);
 	}
-	/// @param[in] _objective 0: none is stated, and every region is near enough.
+	/// @param[in] _objective 0: the route states none, and every region is near enough.
 	bool near_enough(const region_name& _region, std::chrono::milliseconds _objective) const
 	{
-		const auto it = m_seconds.find(_region);
-		if (m_seconds.end() == it || 0 == _objective.count())
+		const auto it = m_rtt_s.find(_region);
+		if (m_rtt_s.end() == it || 0 == _objective.count())
 		{
 			return true;
 		}
@@ -55,6 +56,6 @@
 	}
 
 private:
-	std::map<region_name, double> m_seconds;
+	std::map<region_name, double> m_rtt_s; ///< Estimated round-trip times.
 };
 } // namespace larkrack
--- a/src/steering/region_plan.cpp
+++ b/src/steering/region_plan.cpp
@@ -14,13 +14,13 @@
 	double capacity = 0.0;
 	for (const backend_state* backend : _backends)
 	{
-		// A cold backend server carries little; it is left out until it is warm.
+		// A cold backend server bears few requests; it is left out until it is warm.
 		if (backend->usable(_now) && !backend->region.empty() && !backend->cold(_now))
 		{
 			double slots = k_planned_part * backend->registered.slots;
 			if (backend->limit.limited())
 			{
-				// What its limit lets in does not fill its slots.
+				// The backend server's own limit admits fewer requests than would fill its slots.
 				slots = std::min(slots, *backend->limit.word().per_s * _rates.service_time_s);
 			}
 			figures[backend->region].capacity += slots;
@@ -29,18 +29,20 @@
 	}
 	for (const auto& [region, per_s] : _rates.bound_per_s)
 	{
-		region_figures& one = figures[region];
-		one.capacity = std::max(0.0, one.capacity - per_s * _rates.service_time_s);
+		region_figures& load = figures[region];
+		load.capacity = std::max(0.0, load.capacity - per_s * _rates.service_time_s);
 	}
-	figures.try_emplace(_home); // It counts as a region that asks, also when nothing is known of it.
+	// The home region counts as a region with callers, even if nothing is known of it.
+	figures.try_emplace(_home);
 	for (const auto& [region, per_s] : _rates.per_s)
 	{
 		figures[region].demand += per_s * _rates.service_time_s;
 	}
-	const double each = _rates.unmeasured * k_first_load * capacity / static_cast<double>(figures.size());
-	for (auto& [region, one] : figures)
+	const double unmeasured_demand =
+	    _rates.unmeasured * k_first_load * capacity / static_cast<double>(figures.size());
+	for (auto& [region, load] : figures)
 	{
-		one.demand += each;
+		load.demand += unmeasured_demand;
 	}
 	return figures;
 }
@@ -62,32 +64,33 @@
 	const auto home = _figures.find(_home);
 	const double home_demand = _figures.end() == home ? 0.0 : home->second.demand;
 	const double home_capacity = _figures.end() == home ? 0.0 : home->second.capacity;
-	const double granted = demand > capacity ? capacity / demand : 1.0;
-	if (home_demand * granted <= home_capacity && home_capacity > k_rounding)
+	const double granted_fraction = demand > capacity ? capacity / demand : 1.0;
+	if (home_demand * granted_fraction <= home_capacity && home_capacity > k_rounding)
 	{
 		shares[_home] = 1.0;
 		return shares;
 	}
-	double spare_elsewhere = 0.0;
+	double total_spare = 0.0;
 	for (const auto& [region, figures] : _figures)
 	{
 		if (region != _home)
 		{
-			spare_elsewhere += std::max(0.0, figures.capacity - granted * figures.demand);
+			total_spare += std::max(0.0, figures.capacity - granted_fraction * figures.demand);
 		}
 	}
-	const double kept = home_demand < k_rounding ? 0.0 : home_capacity / (home_demand * granted);
-	shares[_home] = kept;
+	const double home_share =
+	    home_demand < k_rounding ? 0.0 : home_capacity / (home_demand * granted_fraction);
+	shares[_home] = home_share;
 	for (const auto& [region, figures] : _figures)
 	{
 		if (region == _home)
 		{
 			continue;
 		}
-		const double spare = std::max(0.0, figures.capacity - granted * figures.demand);
-		const double part = spare_elsewhere > k_rounding ? spare / spare_elsewhere
-		                                                 : figures.capacity / (capacity - home_capacity);
-		shares[region] = (1.0 - kept) * part;
+		const double spare = std::max(0.0, figures.capacity - granted_fraction * figures.demand);
+		const double fraction =
+		    total_spare > k_rounding ? spare / total_spare : figures.capacity / (capacity - home_capacity);
+		shares[region] = (1.0 - home_share) * fraction;
 	}
 	return shares;
 }
@@ -101,22 +104,24 @@
 region_plan plan_for_keys(const region_name& _home, const figures_by_region& _figures,
     const share_by_region& _in_force, const std::vector<backend_state*>& _backends, steady_time _now)
 {
-	std::map<region_name, double> meant;     // Slots that are there but for planned changes.
-	std::map<region_name, double> answering; // Those of them that are not ejected.
+	// Slots of backend servers that accept new requests: planned changes (drain, evacuation) are left out.
+	std::map<region_name, double> existing_slots;
+	// Slots among them whose backend server is usable, that is, not ejected.
+	std::map<region_name, double> usable_slots;
 	for (const backend_state* backend : _backends)
 	{
 		if (backend->region.empty() || !backend->accepts_new_requests() || backend->cold(_now))
 		{
 			continue;
 		}
-		meant[backend->region] += backend->registered.slots;
-		answering[backend->region] += backend->usable(_now) ? backend->registered.slots : 0;
+		existing_slots[backend->region] += backend->registered.slots;
+		usable_slots[backend->region] += backend->usable(_now) ? backend->registered.slots : 0;
 	}
 	bool failed = false;
 	for (const auto& [region, share] : _in_force)
 	{
-		failed =
-		    failed || (share > k_rounding && answering[region] < (1.0 - k_capacity_loss) * meant[region]);
+		failed = failed || (share > k_rounding &&
+		                       usable_slots[region] < (1.0 - k_capacity_loss) * existing_slots[region]);
 	}
 	return {plan_shares(_home, _figures), failed};
 }
--- a/src/steering/region_plan_p.h
+++ b/src/steering/region_plan_p.h
@@ -2,25 +2,27 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Region plan: how the requests of one region and service should be divided among regions.
+/// Region plan: how the requests of one region and service should be divided among the regions.
 ///
-/// Decides the planned shares, and whether a region's capacity failed, in which case they are taken at once
-/// (region_shares_p.h moves the shares in force towards them otherwise). Inputs, of one service: slots of the
-/// backend servers by region; requests a second by region of the nodes that took them; mean service time
-/// (seconds). Demand and capacity are both in slots: demand is rate times service time.
+/// Decides the planned shares, and whether a region's capacity failed. In that case the plan takes effect at
+/// once; otherwise region_shares_p.h moves the shares in force towards it. Inputs, for one service: slots of
+/// the backend servers by region; requests per second by region of the nodes that took them; mean service
+/// time (seconds). Demand and capacity are both in slots: demand is rate times service time.
 ///
-/// Rule, requests without a key: they run at home as far as its capacity reaches, the rest goes to other
-/// regions in proportion to what these have left. When all regions together can not carry the demand, each is
-/// granted the same part of its own. Requests with a key: the same, for the peaks of demand (peak_rates_p.h)
-/// in place of that of now, so that a steady set of keys stays at home and a steady set is spilled.
+/// Algorithm, for requests without a key: they run in the home region up to its capacity, and the rest goes
+/// to other regions in proportion to their spare capacity. When all regions together cannot carry the demand,
+/// each region is granted the same fraction of its own demand. For requests with a key: the same, but with
+/// the peaks of the demand (peak_rates_p.h) instead of the current demand, so that a steady set of keys stays
+/// in the home region and a steady set is spilled.
 ///
-/// Requests whose home regions leave one region are not divided; their slots are taken from the capacity of
-/// that region before, so that it is not filled with what could run elsewhere.
+/// Requests whose home regions leave one region only are not divided. Their slots are deducted from the
+/// capacity of that region first, so that it is not filled with requests that could run elsewhere.
 ///
-/// Other ways (docs/DESIGN.md, "Keys"): keys divided by the slots of the regions, whatever their home; demand
-/// taken for nothing until it is measured, which overloads small regions at the start.
+/// Alternatives (docs/DESIGN.md, "Keys"): dividing the keys by the slots of the regions, whatever their home
+/// region; counting demand as 0 until it is measured, which overloads small regions at the start.
 ///
-/// Relies on heartbeats for the rates of other nodes, and on backend_state_p.h for who is usable and warm.
+/// Relies on heartbeats for the rates of other nodes, and on backend_state_p.h for which backend servers are
+/// usable and warm.
 #pragma once
 
 #include "steering/backend_state_p.h"
@@ -31,64 +33,64 @@
 
 namespace larkrack
 {
-/// Part of the slots that plans count on, no unit: a region spills before its last slot is taken. Larger
-/// keeps more at home, smaller queues less and leaves room when demand rises: 0.85 loses up to 0.02 of a
-/// quiet day where a region has few slots (docs/DECISIONS.md).
+/// Fraction of the slots that plans count on: a region spills before its last slot is used. Larger: more
+/// requests stay in the home region. Smaller: less queueing, and room for rising demand; 0.85 loses up to
+/// 0.02 of a quiet day where a region has few slots (docs/DECISIONS.md).
 constexpr double k_planned_part = 0.7;
-/// A region that lost this part of its slots has failed, no unit. Smaller moves keys for a few ejected
-/// backend servers, larger fails requests for longer. Not measured.
+/// A region that lost this fraction of its slots counts as failed. Smaller: keys move for a few ejected
+/// backend servers. Larger: requests fail for longer. Not measured.
 constexpr double k_capacity_loss = 0.3;
-/// For what is not measured yet, regions are taken to ask alike for this part of all slots, no unit. Larger
-/// spills from small regions at the start, smaller overloads them.
+/// Fraction of all slots that unmeasured demand is assumed to occupy, divided equally among the regions.
+/// Larger: small regions spill requests at the start. Smaller: small regions are overloaded at the start.
 constexpr double k_first_load = 0.8;
-/// Slots, or part of the demand, that count as none: tells rounding errors of sums from something. Not a
-/// tuning value.
+/// Slots, or fraction of the demand, below which a sum is a rounding error and counts as 0. Not a tuning
+/// value.
 constexpr double k_rounding = 1e-9;
 
-/// What a region asks for and what it can carry, for one service.
+/// Demand and capacity of a region for one service.
 struct region_figures
 {
-	double demand = 0.0;   ///< Slots that the requests of its callers would occupy.
+	double demand = 0.0;   ///< Slots that the requests of the region's callers would occupy.
 	double capacity = 0.0; ///< Slots of usable and warm backend servers that plans count on.
 };
 
-/// What the nodes measured of the demand for one service.
+/// Measured demand for one service.
 struct demand_rates
 {
-	rate_by_region per_s;        ///< Requests a second by region of the nodes that took them, of all nodes.
-	double service_time_s = 0.0; ///< Mean time of an exchange.
-	/// Part of the demand that the rates do not tell yet, 0 to 1; k_first_load stands in for it.
+	rate_by_region per_s; ///< Requests per second, by region of the nodes that took them; sum over all nodes.
+	double service_time_s = 0.0; ///< Mean time of an exchange with a backend server.
+	/// Fraction of the demand that the rates do not cover yet, 0 to 1; k_first_load stands in for it.
 	double unmeasured = 0.0;
-	/// Requests a second that may run in that region only, of all nodes. They are not in per_s.
+	/// Requests per second that may run in that region only; sum over all nodes, not included in per_s.
 	rate_by_region bound_per_s{};
 };
 
 using figures_by_region = std::map<region_name, region_figures>;
-/// Parts of the requests, 0 to 1.
+/// Fractions of the requests, 0 to 1.
 using share_by_region = std::map<region_name, double>;
 
+/// Computes demand and capacity of each region.
 /// @param[in] _home Region of this node.
 figures_by_region figures_of(const region_name& _home, const std::vector<backend_state*>& _backends,
     const demand_rates& _rates, steady_time _now);
 
-/// @returns Planned shares of requests without a key, which sum up to 1; empty when no region has any
-/// capacity.
+/// @returns Planned shares of the requests, which sum up to 1; empty when no region has any capacity.
 share_by_region plan_shares(const region_name& _home, const figures_by_region& _figures);
 
-/// A plan, and how fast to take it.
+/// Planned shares, and whether they take effect at once.
 struct region_plan
 {
 	share_by_region shares; ///< Empty: no region has any capacity.
-	bool at_once = false;   ///< Capacity failed: waiting would only fail requests.
+	bool immediate = false; ///< Capacity failed, so that a gradual shift would only fail requests.
 };
 
 /// Plans the shares of requests without a key.
-/// @param[in] _last_capacity Of the home region at the plan before, in slots.
+/// @param[in] _last_capacity Capacity of the home region in the previous plan, in slots.
 region_plan plan_by_demand(
     const region_name& _home, const figures_by_region& _figures, double _last_capacity);
 /// Plans the shares of requests with a key.
-/// @param[in] _figures With the demand at its peaks.
-/// @param[in] _in_force Shares that are in force. The plan is to be taken at once when a region among them
+/// @param[in] _figures With the peaks of the demand.
+/// @param[in] _in_force Shares in force. The plan takes effect at once when a region with a share among them
 /// lost slots to ejections; planned changes (drain, evacuation) do not count as lost.
 region_plan plan_for_keys(const region_name& _home, const figures_by_region& _figures,
     const share_by_region& _in_force, const std::vector<backend_state*>& _backends, steady_time _now);
--- a/src/steering/region_shares.cpp
+++ b/src/steering/region_shares.cpp
@@ -10,9 +10,9 @@
 {
 namespace
 {
-/// Share or width of a region below which it gets no requests: rounding errors. Not a tuning value.
+/// Share or width below which a region gets no requests: a rounding error. Not a tuning value.
 constexpr double k_no_share = 1e-9;
-/// Less than any credit.
+/// Lower than any credit.
 constexpr double k_below_all = -1e300;
 } // namespace
 
@@ -22,18 +22,18 @@
 	return {k_shift_part_away * per_s, k_shift_part_back * per_s};
 }
 
-void region_shares::follow(const region_plan& _plan, steady_time _now)
+void region_shares::move_towards(const region_plan& _plan, steady_time _now)
 {
-	const double passed = steady_time{} == m_followed_at
+	const double passed = steady_time{} == m_updated_at
 	                          ? k_first_step_s
-	                          : std::chrono::duration<double>(_now - m_followed_at).count();
-	m_followed_at = _now;
+	                          : std::chrono::duration<double>(_now - m_updated_at).count();
+	m_updated_at = _now;
 	const share_by_region& planned = _plan.shares;
 	if (planned.empty())
 	{
 		return;
 	}
-	if (m_shares.empty() || _plan.at_once)
+	if (m_shares.empty() || _plan.immediate)
 	{
 		m_shares = planned;
 		return;
@@ -53,8 +53,8 @@
 		moved += std::max(0.0, goal_of(region) - share);
 	}
 	const auto home = m_shares.find(m_home);
-	const bool returns = m_shares.end() != home && goal_of(m_home) > home->second;
-	const double pace = returns ? m_pace.back : m_pace.away;
+	const bool towards_home = m_shares.end() != home && goal_of(m_home) > home->second;
+	const double pace = towards_home ? m_pace.back : m_pace.away;
 	const double part = moved > pace * passed ? pace * passed / moved : 1.0;
 	for (auto& [region, share] : m_shares)
 	{
@@ -108,23 +108,23 @@
 	{
 		return {};
 	}
-	region_name richest;
-	double best = k_below_all;
+	region_name most_credited;
+	double highest_credit = k_below_all;
 	for (const auto& [region, share] : m_shares)
 	{
 		double& credit = m_credit[region];
 		credit = std::clamp(credit + share, -k_most_credit, k_most_credit);
-		if (share > k_no_share && credit > best)
+		if (share > k_no_share && credit > highest_credit)
 		{
-			richest = region;
-			best = credit;
+			most_credited = region;
+			highest_credit = credit;
 		}
 	}
-	// Credit widens a region at its border, so that most keys never move.
+	// Credit widens a region at its borders only, so that most keys never move.
 	region_name chosen = owner_of(_position, k_width_for_credit);
-	if (m_credit[chosen] < -k_most_overdraft && !richest.empty())
+	if (m_credit[chosen] < -k_most_overdraft && !most_credited.empty())
 	{
-		chosen = richest;
+		chosen = most_credited;
 	}
 	m_credit[chosen] -= 1.0;
 	return chosen;
--- a/src/steering/rendezvous.cpp
+++ b/src/steering/rendezvous.cpp
@@ -8,9 +8,9 @@
 
 namespace larkrack
 {
-std::uint64_t rendezvous_weight(std::string_view _candidate, std::uint64_t _thing)
+std::uint64_t rendezvous_weight(std::string_view _candidate, std::uint64_t _item)
 {
-	return XXH64(_candidate.data(), _candidate.size(), _thing);
+	return XXH64(_candidate.data(), _candidate.size(), _item);
 }
 
 double unit_interval(std::uint64_t _hash)
--- a/src/steering/request_fingerprint.cpp
+++ b/src/steering/request_fingerprint.cpp
@@ -11,10 +11,11 @@
 {
 namespace
 {
-/// All nodes must agree on it; not a tuning value.
+/// Seed of the method's hash. All nodes must use the same value; not a tuning value.
 constexpr std::uint64_t k_method_seed = 4;
-constexpr std::uint64_t k_sender_seed = 5;                    ///< See above.
-constexpr std::uint64_t k_key_factor = 0x9E3779B97F4A7C15ULL; ///< See above.
+constexpr std::uint64_t k_sender_seed = 5; ///< Seed of the sender's hash; the same at all nodes.
+/// Multiplier of the key's hash; the same at all nodes.
+constexpr std::uint64_t k_key_factor = 0x9E3779B97F4A7C15ULL;
 } // namespace
 
 std::uint64_t request_head_hash(std::string_view _method, std::string_view _host, std::string_view _target)
--- a/src/steering/request_times.cpp
+++ b/src/steering/request_times.cpp
@@ -10,7 +10,7 @@
 {
 namespace
 {
-std::chrono::milliseconds stated_timeout(std::string_view _text)
+std::chrono::milliseconds parse_timeout(std::string_view _text)
 {
 	std::int64_t ms = 0;
 	const auto read = std::from_chars(_text.data(), _text.data() + _text.size(), ms);
@@ -23,15 +23,16 @@
 } // namespace
 
 std::chrono::milliseconds request_timeout(
-    std::optional<std::string_view> _stated, std::chrono::milliseconds _of_route)
+    std::optional<std::string_view> _stated, std::chrono::milliseconds _route_timeout)
 {
-	const std::chrono::milliseconds timeout = _stated ? stated_timeout(*_stated) : k_default_timeout;
-	return _of_route.count() > 0 ? std::min(timeout, _of_route) : timeout;
+	const std::chrono::milliseconds timeout = _stated ? parse_timeout(*_stated) : k_default_timeout;
+	return _route_timeout.count() > 0 ? std::min(timeout, _route_timeout) : timeout;
 }
 
-std::chrono::milliseconds time_for_last_words(std::chrono::milliseconds _since_sent, bool _deadline_over)
+std::chrono::milliseconds time_for_last_words(std::chrono::milliseconds _since_sent, bool _deadline_passed)
 {
-	return _deadline_over ? k_last_words : std::max(std::chrono::milliseconds(0), k_last_words - _since_sent);
+	return _deadline_passed ? k_last_words
+	                        : std::max(std::chrono::milliseconds(0), k_last_words - _since_sent);
 }
 
 std::chrono::milliseconds connect_timeout(bool _same_region)
--- a/src/steering/routing_table.cpp
+++ b/src/steering/routing_table.cpp
@@ -10,7 +10,7 @@
 {
 namespace
 {
-std::string normal_host(std::string_view _host)
+std::string normalized_host(std::string_view _host)
 {
 	const std::size_t colon = _host.find(':');
 	std::string host(_host.substr(0, colon));
@@ -37,13 +37,13 @@
 {
 	for (std::size_t i = 0; i < m_routes.size(); ++i)
 	{
-		m_by_prefix.emplace(index_key(normal_host(m_routes[i].host), m_routes[i].path_prefix), i);
+		m_by_prefix.emplace(index_key(normalized_host(m_routes[i].host), m_routes[i].path_prefix), i);
 	}
 }
 
 const route* routing_table::find(std::string_view _host, std::string_view _target) const
 {
-	const std::string host = normal_host(_host);
+	const std::string host = normalized_host(_host);
 	std::string_view path = _target.substr(0, _target.find('?'));
 	while (!path.empty())
 	{
@@ -75,24 +75,24 @@
 std::unordered_map<service_name, std::chrono::milliseconds> routing_table::warmup_times() const
 {
 	std::unordered_map<service_name, std::chrono::milliseconds> times;
-	for (const routed_service& one : m_services)
+	for (const routed_service& entry : m_services)
 	{
-		times.emplace(one.name, one.warmup_time);
+		times.emplace(entry.name, entry.warmup_time);
 	}
 	return times;
 }
 
 std::vector<std::string> routing_table::home_regions(std::string_view _host) const
 {
-	const std::string host = normal_host(_host);
+	const std::string host = normalized_host(_host);
 	std::vector<std::string> regions;
-	for (const route& one : m_routes)
+	for (const route& entry : m_routes)
 	{
-		if (one.home_regions.empty() || normal_host(one.host) != host)
+		if (entry.home_regions.empty() || normalized_host(entry.host) != host)
 		{
 			continue;
 		}
-		regions.insert(regions.end(), one.home_regions.begin(), one.home_regions.end());
+		regions.insert(regions.end(), entry.home_regions.begin(), entry.home_regions.end());
 	}
 	std::sort(regions.begin(), regions.end());
 	regions.erase(std::unique(regions.begin(), regions.end()), regions.end());
--- a/src/steering/routing_table_p.h
+++ b/src/steering/routing_table_p.h
@@ -2,17 +2,17 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Routing table: which route a request takes.
+/// Routing table: finds the route of a request.
 ///
-/// Decides the route of a request. Inputs: its Host header and its path. Rule: the longest path prefix among
-/// the routes of the host wins; port and case of the host and the query do not count, and a prefix ends at a
-/// slash. It is found by one look-up in a hash table for each slash of the path, from the longest prefix on,
-/// so the cost does not grow with the number of routes.
+/// Inputs: the Host header and the path of the request. Algorithm: among the routes of the host, the longest
+/// path prefix wins; the host's port and case and the query are ignored, and a prefix ends at a slash. A
+/// lookup tries the prefixes of the path from the longest on, one hash table lookup for each slash, so the
+/// cost does not grow with the number of routes.
 ///
-/// Other ways: none was measured.
+/// Alternatives: none was measured.
 ///
-/// Relies on the adapter of the platform to have checked what operators write; a table never changes once
-/// built, so a request keeps the one that it began with.
+/// Owns one version of the configuration, which is immutable, so a request keeps the version that it started
+/// with. Relies on the platform adapter to have validated what operators write.
 #pragma once
 
 #include "steering/customer_p.h"
@@ -33,45 +33,45 @@
 	at_most_once,
 };
 
-/// One of the services among which the requests of a route are divided.
+/// A service that gets a share of a route's requests.
 struct route_target
 {
 	std::string service;
 	double weight = 1.0;
 };
 
-/// What an operator declares for the requests under one path prefix of a host.
+/// Settings of an operator for the requests under one path prefix of a host.
 struct route
 {
 	std::string name;
 	std::string host;
 	std::string path_prefix; ///< Begins and ends with a slash.
 	repeat_rule repeat = repeat_rule::at_most_once;
-	bool large_answers = false;             ///< Answers are big enough that the distance they travel counts.
-	std::chrono::milliseconds timeout{0};   ///< Longest time that a request may be held; 0: no limit.
+	bool large_answers = false;             ///< Answers are so large that the distance they travel matters.
+	std::chrono::milliseconds timeout{0};   ///< Maximum time that a request may be held; 0: no limit.
 	std::chrono::milliseconds objective{0}; ///< Time within which an answer has its full worth.
 	int priority = 0;                       ///< 0 is the highest.
-	int max_attempts = 1;                   ///< Backend servers that one request may be sent to.
-	bool needs_key = true; ///< Requests need a key of a customer, where customers are declared.
-	bool sticky = false;   ///< Requests with one affinity key prefer one backend server.
+	int max_attempts = 1;  ///< Maximum number of backend servers that one request may be sent to.
+	bool needs_key = true; ///< Requests need the API key of a customer, if customers are configured.
+	bool sticky = false;   ///< Requests with the same affinity key prefer the same backend server.
 	std::vector<std::string> home_regions; ///< Empty: any region may serve.
 	std::vector<route_target> targets;     ///< At least one.
 };
 
-/// What an operator declares for a service.
+/// Settings of an operator for a service.
 struct routed_service
 {
 	std::string name;
-	int max_connections = 0; ///< Connections that one backend server takes from all callers; 0: no limit.
-	double warmup_requests_per_s = 0.0;       ///< What a cold backend server bears; 0: no limit.
-	std::chrono::milliseconds warmup_time{0}; ///< For which a backend server that turns cold stays cold.
+	int max_connections = 0; ///< Maximum connections of all callers to one backend server; 0: no limit.
+	double warmup_requests_per_s = 0.0;       ///< Request rate that a cold backend server bears; 0: no limit.
+	std::chrono::milliseconds warmup_time{0}; ///< How long a backend server stays cold after it turns cold.
 };
 
-/// Bounds on what a caller may send, and how long it may take.
+/// Limits on the size of a caller's requests, and on their time.
 struct caller_limits
 {
 	std::uint32_t header_bytes =
-	    16U * 1024U; ///< The values here hold for limits that a configuration leaves out.
+	    16U * 1024U; ///< Default values here apply to limits that a configuration leaves out.
 	std::uint64_t body_bytes = 8ULL * 1024 * 1024;
 	std::chrono::milliseconds header_timeout{10000};
 	std::chrono::milliseconds idle_timeout{15000};
@@ -81,20 +81,20 @@
 class routing_table
 {
 public:
-	/// @param[in] _version Only grows from one configuration to the next.
+	/// @param[in] _version Version of the configuration; a later one has a higher version.
 	routing_table(std::uint64_t _version, std::vector<route> _routes, std::vector<routed_service> _services,
 	    const caller_limits& _limits, customer_directory _customers = {});
 
-	/// Finds the route with the longest prefix that begins the path.
-	/// @param[in] _host Value of the Host header; its port and case are passed over.
-	/// @param[in] _target Path with or without a query.
+	/// Finds the route with the longest prefix of the path.
+	/// @param[in] _host Value of the Host header; its port and case are ignored.
+	/// @param[in] _target Path, with or without a query.
 	/// @returns Null when no route matches.
 	const route* find(std::string_view _host, std::string_view _target) const;
 	/// @returns Null when there is no such service.
 	const routed_service* find_service(const std::string& _name) const;
-	/// @returns How long the slow start of each service's backend servers takes.
+	/// @returns Duration of the slow start of each service's backend servers.
 	std::unordered_map<service_name, std::chrono::milliseconds> warmup_times() const;
-	/// @returns Home regions of any route of a host; empty when none of them has any.
+	/// @returns Home regions of all routes of a host; empty when no route has any.
 	std::vector<std::string> home_regions(std::string_view _host) const;
 
 	std::uint64_t version() const
--- a/src/steering/served_lately_p.h
+++ b/src/steering/served_lately_p.h
@@ -2,13 +2,14 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Served lately: which requests without a body this node has seen served within the last moments.
+/// Recently served requests: the requests without a body that this node has seen served in the last few
+/// seconds.
 ///
-/// For: a popular request is on most backend servers that end by themselves, and is not to be blamed for it.
-/// Inputs: the hash of each request without a body that was served. A request with a body is left out: it
-/// would need a pass through the body each time.
+/// A popular request is running on most backend servers that crash, and must not be blocked for a crash that
+/// it did not cause. Inputs: the hash of each request without a body that was served. Requests with a body
+/// are left out, since hashing them would read the whole body each time.
 ///
-/// A table of fixed size; a later request takes the place of an earlier one.
+/// Owns a table of fixed size; a later request replaces an earlier one in the same entry.
 #pragma once
 
 #include "base/clock_p.h"
@@ -17,31 +18,32 @@
 
 namespace larkrack
 {
-/// Time for which a request counts as served lately. Longer: one that a release has broken is blamed later.
+/// Time for which a request counts as recently served. Longer: a request that a new release has broken is
+/// blamed later.
 constexpr std::chrono::seconds k_served_lately{5};
-/// Requests that are remembered, 16 bytes each. Fewer: a popular request is forgotten among others.
+/// Number of entries, 16 bytes each. Fewer: a popular request is displaced by others.
 constexpr std::size_t k_served_places = 1024;
 
-/// Requests that were served.
+/// Table of the recently served requests.
 class served_lately
 {
 public:
 	void note(std::uint64_t _request, steady_time _now)
 	{
-		m_places[_request % k_served_places] = {_request, _now};
+		m_entries[_request % k_served_places] = {_request, _now};
 	}
 	bool has(std::uint64_t _request, steady_time _now) const
 	{
-		const place& found = m_places[_request % k_served_places];
+		const entry& found = m_entries[_request % k_served_places];
 		return found.request == _request && steady_time{} != found.at && _now - found.at <= k_served_lately;
 	}
 
 private:
-	struct place
+	struct entry
 	{
 		std::uint64_t request = 0;
 		steady_time at{};
 	};
-	std::array<place, k_served_places> m_places{};
+	std::array<entry, k_served_places> m_entries{};
 };
 } // namespace larkrack
--- a/src/steering/service_split.cpp
+++ b/src/steering/service_split.cpp
@@ -7,9 +7,9 @@
 {
 namespace
 {
-/// Weight, or sum of weights, that counts as none: rounding errors. Not a tuning value.
+/// Weight, or sum of weights, that is a rounding error and counts as 0. Not a tuning value.
 constexpr double k_no_weight = 1e-9;
-/// Less than any credit.
+/// Lower than any credit.
 constexpr double k_below_all = -1e300;
 } // namespace
 
--- a/src/steering/service_split_p.h
+++ b/src/steering/service_split_p.h
@@ -2,17 +2,17 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Service split: which of a route's services gets a request.
+/// Service split: chooses the service of each request of a route with several targets.
 ///
-/// Decides the service of each request of a route with several targets. Input: the targets with their weights
-/// (no unit, any sum). Rule: smooth weighted round robin. Each request adds every target's part of the
-/// weights to its credit, the target with the highest credit is chosen and pays 1; so every prefix of the
-/// sequence keeps to the weights. A target of weight 0 is never chosen while another has weight.
+/// Input: the targets with their weights (no unit, any sum). Algorithm: smooth weighted round robin. Each
+/// request adds every target's fraction of the weights to its credit; the target with the highest credit is
+/// chosen and pays 1, so every prefix of the request sequence keeps to the weights. A target of weight 0 is
+/// never chosen while another target has weight.
 ///
-/// Other ways: a random draw by weight was not measured; it strays in short runs, when a canary gets few
+/// Alternatives: a random draw by weight was not measured; it deviates in short runs, when a canary gets few
 /// requests.
 ///
-/// Relies on one object for each route.
+/// Owns the credits of one route. Relies on its owner to keep one object for each route.
 #pragma once
 
 #include "steering/routing_table_p.h"
@@ -26,8 +26,8 @@
 class service_split
 {
 public:
-	/// @param[in] _targets At least one; a target may come and go between calls.
-	/// @returns The chosen one.
+	/// @param[in] _targets At least one; targets may come and go between calls.
+	/// @returns The chosen target.
 	const route_target& next(const std::vector<route_target>& _targets);
 
 private:
--- a/src/steering/service_steering.cpp
+++ b/src/steering/service_steering.cpp
@@ -9,8 +9,8 @@
 {
 std::chrono::milliseconds plan_pause(std::size_t _backends)
 {
-	/// Microseconds between two plans for each backend server. Longer: shares follow later. Shorter: more
-	/// processor time. Not measured alone.
+	/// Microseconds between two plans for each backend server. Longer: shares follow demand later. Shorter:
+	/// more CPU time. Not measured alone.
 	constexpr std::chrono::microseconds k_pause_per_backend{100};
 	return std::chrono::duration_cast<std::chrono::milliseconds>(k_pause_per_backend * _backends);
 }
@@ -23,10 +23,10 @@
 }
 
 std::optional<share_change> service_steering::update(const std::vector<backend_state*>& _backends,
-    rate_by_region _per_s_elsewhere, rate_by_region _bound_elsewhere, steady_time _now)
+    rate_by_region _per_s_elsewhere, rate_by_region _pinned_elsewhere, steady_time _now)
 {
 	demand_rates rates{
-	    std::move(_per_s_elsewhere), demand.service_time_s(), 0.0, std::move(_bound_elsewhere)};
+	    std::move(_per_s_elsewhere), demand.service_time_s(), 0.0, std::move(_pinned_elsewhere)};
 	for (const auto& [region, per_s] : bound_per_s())
 	{
 		rates.bound_per_s[region] += per_s;
@@ -34,11 +34,12 @@
 	rates.per_s[m_home] += demand.requests_per_s();
 	rates.unmeasured = m_first_rates.unmeasured(rates.per_s, _now);
 	figures_by_region figures = figures_of(m_home, _backends, rates, _now);
-	shares.by_demand.follow(plan_by_demand(m_home, figures, m_last_capacity), _now);
+	shares.by_demand.move_towards(plan_by_demand(m_home, figures, m_last_capacity), _now);
 	m_last_capacity = capacity_of(figures, m_home);
 	rates.per_s = m_peaks.update(rates.per_s, _now);
 	const figures_by_region at_peaks = figures_of(m_home, _backends, rates, _now);
-	shares.of_keys.follow(plan_for_keys(m_home, at_peaks, shares.of_keys.shares(), _backends, _now), _now);
+	shares.of_keys.move_towards(
+	    plan_for_keys(m_home, at_peaks, shares.of_keys.shares(), _backends, _now), _now);
 	const double home_share = shares.by_demand.share_of(m_home);
 	if (std::abs(home_share - m_logged_home_share) < k_logged_share_change)
 	{
@@ -51,7 +52,7 @@
 void service_steering::tick(double _passed_s)
 {
 	demand.tick(_passed_s);
-	for (auto& [region, meter] : m_bound)
+	for (auto& [region, meter] : m_pinned)
 	{
 		meter.tick(_passed_s);
 	}
@@ -60,7 +61,7 @@
 rate_by_region service_steering::bound_per_s() const
 {
 	rate_by_region rates;
-	for (const auto& [region, meter] : m_bound)
+	for (const auto& [region, meter] : m_pinned)
 	{
 		if (meter.requests_per_s() > k_least_demand_per_s)
 		{
--- a/src/steering/shared_budgets.cpp
+++ b/src/steering/shared_budgets.cpp
@@ -9,19 +9,19 @@
 {
 namespace
 {
-/// Part of the slow start rate that is used. Higher: bursts of several nodes may break the bound of the
+/// Fraction of the slow start rate that is used. Higher: bursts of several nodes may exceed the limit of the
 /// service. Lower: a cold backend server is warm later. Not measured.
 constexpr double k_warmup_part = 0.9;
-/// A node trusts the choice by consistent hashing when it sees one of so many nodes of its region, or more.
-/// Higher: small islands send too much to cold backend servers. Lower: a few nodes down end the choice. Not
-/// measured.
+/// A node relies on the choice by consistent hashing while it sees at least one of this number of nodes of
+/// its region. Higher: small partitions send too much to cold backend servers. Lower: a few nodes down
+/// disable the choice. Not measured.
 constexpr std::size_t k_region_per_seen = 2;
 } // namespace
 
 void node_census::on_seen(std::size_t _nodes, std::size_t _in_region)
 {
-	m_most_nodes = std::max(m_most_nodes, _nodes);
-	m_most_in_region = std::max(m_most_in_region, _in_region);
+	m_max_nodes = std::max(m_max_nodes, _nodes);
+	m_max_in_region = std::max(m_max_in_region, _in_region);
 }
 
 double connections_of_node(int _limit, const sharing& _sharing)
@@ -29,11 +29,11 @@
 	return std::max(1.0, _limit / _sharing.nodes);
 }
 
-warmup_decision plan_warmup(std::size_t _region_nodes, std::size_t _most_in_region, bool _chosen)
+warmup_decision plan_warmup(std::size_t _region_nodes, std::size_t _max_in_region, bool _chosen)
 {
-	if (k_region_per_seen * _region_nodes < _most_in_region)
+	if (k_region_per_seen * _region_nodes < _max_in_region)
 	{
-		return {1.0 / static_cast<double>(_most_in_region), warmup_reason::cut_off};
+		return {1.0 / static_cast<double>(_max_in_region), warmup_reason::cut_off};
 	}
 	return _chosen ? warmup_decision{1.0, warmup_reason::chosen}
 	               : warmup_decision{0.0, warmup_reason::another_node};
--- a/src/steering/slot_queue_p.h
+++ b/src/steering/slot_queue_p.h
@@ -2,22 +2,22 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Slot queue: how long a request waits for a free slot, and who is next.
+/// Slot queue: the requests that wait for a free slot, their order, and their maximum wait.
 ///
-/// Decides the longest wait of a request that finds no backend server with room, the order of those that
-/// wait, and the end of a wait. Inputs: the route's objective (milliseconds, the time within which an answer
-/// has its full worth) and its priority (0 is the highest).
+/// Inputs: the route's objective (milliseconds, the time within which an answer has its full worth) and its
+/// priority (0 is the highest).
 ///
-/// Rule: early load shedding. A request waits for k_wait_part of its objective; then it is refused as not run
-/// (reason no_headroom) with a time to come back, since an answer that comes late is worth little and holds a
-/// slot. Within a service, higher priorities go first, and within a priority who came first. When the first
-/// one finds no slot, none behind it is tried: requests of one service compete for the same backend servers.
-/// A request waits once; another attempt (attempt_rules_p.h) is made at once or not at all.
+/// Algorithm: early load shedding. A request that finds no backend server with a free slot waits for
+/// k_wait_part of its objective. Then it is refused as not run (reason no_headroom) with a retry time, since
+/// a late answer is worth little and occupies a slot. Within a service, requests are ordered by priority, and
+/// within a priority by arrival. When the first request finds no slot, the requests behind it are not tried:
+/// requests of one service compete for the same backend servers. A request waits once; a further attempt
+/// (attempt_rules_p.h) is made at once or not at all.
 ///
-/// Other ways: none was measured. Each request that waits costs memory of the node until it ends.
+/// Alternatives: none was measured. Each waiting request uses memory of the node until it ends.
 ///
-/// Relies on forwarder to try the first one whenever a request ended, a backend server changed, or a tick
-/// passed.
+/// Owns the queue of one service. Relies on forwarder to try the first request whenever a request ended, a
+/// backend server changed, or a tick passed.
 #pragma once
 
 #include <chrono>
@@ -26,14 +26,16 @@
 
 namespace larkrack
 {
-/// Part of the objective for which a request waits, no unit. Longer serves more at a short overload, shorter
-/// leaves more time to run and tells callers sooner that there is no room: twice the value costs 0.004 of
-/// worth where the objective is short, four times 0.015 where slots are few (docs/DECISIONS.md).
+/// Fraction of the objective for which a request waits. Longer: more requests are served in a short overload.
+/// Shorter: more time is left to run, and callers learn sooner that there is no free slot; twice the value
+/// costs 0.004 of worth where the objective is short, four times the value 0.015 where slots are few
+/// (docs/DECISIONS.md).
 constexpr double k_wait_part = 0.1;
-/// Wait when the route names no objective, milliseconds. Not measured.
+/// Maximum wait when the route has no objective, in milliseconds. Not measured.
 constexpr std::chrono::milliseconds k_wait_default{100};
 
-/// @param[in] _objective 0: none.
+/// @param[in] _objective Objective of the route; 0: it has none.
+/// @returns Maximum time that a request waits for a slot.
 inline std::chrono::milliseconds longest_wait(std::chrono::milliseconds _objective)
 {
 	if (_objective.count() <= 0)
@@ -45,7 +47,7 @@
 }
 
 /// Requests of one service that wait for a slot.
-/// @tparam Request Pointer to a request.
+/// @tparam Request Pointer type of a request.
 template <typename Request>
 class slot_queue
 {
@@ -59,7 +61,7 @@
 	{
 		m_requests[_priority].remove(_request);
 	}
-	/// @returns Who is next; null when nobody waits.
+	/// @returns The request that is next; null when none waits.
 	Request first() const
 	{
 		for (const auto& [priority, requests] : m_requests)
--- a/tests/steering_service_test.cpp
+++ b/tests/steering_service_test.cpp
@@ -1,6 +1,10 @@
 // Copyright 2026 the larkrack developers. All rights reserved.
 // License: BSD 2-Clause, see LICENSE.
 
+/// @file
+/// Tests of the state and the decisions of one service: service split, slot queue, demand, capacity, plans of
+/// the shares, and when a change of the shares is logged.
+
 #include "fixtures.h"
 
 #include "steering/demand_meter_p.h"
@@ -16,29 +20,29 @@
 class steering_service_test : public CppUnit::TestFixture
 {
 	CPPUNIT_TEST_SUITE(steering_service_test);
-	CPPUNIT_TEST(split_every_prefix_keeps_to_the_weights);
-	CPPUNIT_TEST(split_target_without_weight_is_never_chosen);
+	CPPUNIT_TEST(split_keeps_to_the_weights_in_every_prefix);
+	CPPUNIT_TEST(split_never_chooses_a_target_without_weight);
 	CPPUNIT_TEST(wait_is_a_tenth_of_the_objective);
-	CPPUNIT_TEST(queue_higher_priority_goes_first_then_who_came_first);
+	CPPUNIT_TEST(queue_orders_by_priority_then_by_arrival);
 	CPPUNIT_TEST(queue_removed_request_is_never_first);
 	CPPUNIT_TEST(demand_rate_follows_the_arrivals);
-	CPPUNIT_TEST(demand_service_time_moves_by_a_twentieth);
-	CPPUNIT_TEST(frequency_too_few_requests_is_none);
-	CPPUNIT_TEST(frequency_old_counts_fade);
-	CPPUNIT_TEST(figures_cold_or_unusable_backend_servers_do_not_count);
-	CPPUNIT_TEST(figures_slots_of_requests_bound_to_a_region_are_taken);
-	CPPUNIT_TEST(update_bound_requests_drive_others_out_of_a_small_home);
-	CPPUNIT_TEST(figures_nothing_measured_regions_ask_alike);
-	CPPUNIT_TEST(plan_lost_third_of_the_slots_is_taken_at_once);
-	CPPUNIT_TEST(plan_keyed_drained_slots_are_no_failure_ejected_ones_are);
-	CPPUNIT_TEST(plan_keyed_failure_of_a_region_without_share_moves_nothing);
-	CPPUNIT_TEST(update_region_whose_servers_all_rest_is_left_at_once_and_returned_to_at_the_permitted_pace);
-	CPPUNIT_TEST(update_keys_stay_at_home_while_home_has_room);
-	CPPUNIT_TEST(update_a_part_of_the_keys_leaves_an_overloaded_home);
-	CPPUNIT_TEST(peaks_decay_and_a_higher_rate_counts_at_once);
-	CPPUNIT_TEST(first_rates_tell_more_as_time_passes);
-	CPPUNIT_TEST(update_logs_only_moves_of_five_hundredths);
-	CPPUNIT_TEST(plans_are_rarer_only_in_fleets_of_thousands);
+	CPPUNIT_TEST(demand_service_time_changes_by_a_twentieth_of_the_difference);
+	CPPUNIT_TEST(frequency_with_too_few_requests_is_zero);
+	CPPUNIT_TEST(frequency_of_old_counts_decays);
+	CPPUNIT_TEST(capacity_excludes_cold_or_unusable_backend_servers);
+	CPPUNIT_TEST(capacity_excludes_slots_of_requests_pinned_to_a_region);
+	CPPUNIT_TEST(update_moves_other_requests_out_of_a_home_full_of_pinned_requests);
+	CPPUNIT_TEST(demand_without_measurements_is_equal_in_all_regions);
+	CPPUNIT_TEST(plan_after_loss_of_a_third_of_the_slots_is_immediate);
+	CPPUNIT_TEST(plan_for_keys_counts_ejected_slots_as_failed_but_not_drained_slots);
+	CPPUNIT_TEST(plan_for_keys_ignores_the_failure_of_a_region_without_share);
+	CPPUNIT_TEST(update_leaves_a_resting_region_at_once_and_returns_at_the_permitted_pace);
+	CPPUNIT_TEST(update_keeps_keys_at_home_while_home_has_capacity);
+	CPPUNIT_TEST(update_moves_some_keys_out_of_an_overloaded_home);
+	CPPUNIT_TEST(peaks_decay_and_follow_a_higher_rate_at_once);
+	CPPUNIT_TEST(first_rates_cover_more_demand_as_time_passes);
+	CPPUNIT_TEST(update_returns_only_changes_of_five_percent);
+	CPPUNIT_TEST(plan_interval_is_longer_only_in_fleets_of_thousands);
 	CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -65,7 +69,7 @@
 	const region_name m_east{"east"};
 	const region_name m_west{"west"};
 	steady_time m_now{std::chrono::hours(1)};
-	std::vector<backend_state> m_servers; ///< Five of ten slots in each region.
+	std::vector<backend_state> m_servers; ///< Five backend servers of ten slots in each region.
 	std::vector<backend_state*> m_backends;
 
 	void eject(int _server)
@@ -73,7 +77,7 @@
 		m_servers[_server].on_exchange_end(backend_signal::unreachable, m_now);
 	}
 
-	void split_every_prefix_keeps_to_the_weights()
+	void split_keeps_to_the_weights_in_every_prefix()
 	{
 		service_split split;
 		const std::vector<route_target> targets{{"a", 90.0}, {"b", 10.0}};
@@ -85,7 +89,7 @@
 		}
 	}
 
-	void split_target_without_weight_is_never_chosen()
+	void split_never_chooses_a_target_without_weight()
 	{
 		service_split split;
 		const std::vector<route_target> targets{{"a", 0.0}, {"b", 5.0}};
@@ -101,7 +105,7 @@
 		CPPUNIT_ASSERT(k_wait_default == longest_wait(std::chrono::milliseconds(0)));
 	}
 
-	void queue_higher_priority_goes_first_then_who_came_first()
+	void queue_orders_by_priority_then_by_arrival()
 	{
 		const int requests[] = {0, 1, 2, 3};
 		slot_queue<const int*> queue;
@@ -147,7 +151,7 @@
 		CPPUNIT_ASSERT_DOUBLES_EQUAL(0.0, meter.requests_per_s(), 1e-9);
 	}
 
-	void demand_service_time_moves_by_a_twentieth()
+	void demand_service_time_changes_by_a_twentieth_of_the_difference()
 	{
 		demand_meter meter;
 		CPPUNIT_ASSERT_DOUBLES_EQUAL(0.4, meter.service_time_s(), 1e-9);
@@ -155,7 +159,7 @@
 		CPPUNIT_ASSERT_DOUBLES_EQUAL(0.41, meter.service_time_s(), 1e-9);
 	}
 
-	void frequency_too_few_requests_is_none()
+	void frequency_with_too_few_requests_is_zero()
 	{
 		key_frequency keys;
 		for (std::uint32_t i = 0; i + 1 < k_enough_requests; ++i)
@@ -167,7 +171,7 @@
 		CPPUNIT_ASSERT_DOUBLES_EQUAL(0.99, keys.part_of({7}), 1e-9);
 	}
 
-	void frequency_old_counts_fade()
+	void frequency_of_old_counts_decays()
 	{
 		key_frequency keys;
 		for (std::uint32_t i = 0; i < k_halve_at_requests; ++i)
@@ -182,7 +186,7 @@
 		CPPUNIT_ASSERT(keys.part_of({7}) < 0.4);
 	}
 
-	void figures_cold_or_unusable_backend_servers_do_not_count()
+	void capacity_excludes_cold_or_unusable_backend_servers()
 	{
 		m_servers[0].registered.draining = true;
 		m_servers[1].cold_until = m_now + std::chrono::seconds(1);
@@ -196,7 +200,7 @@
 		CPPUNIT_ASSERT_DOUBLES_EQUAL(30.0, figures.at(m_west).demand, 1e-9);
 	}
 
-	void figures_slots_of_requests_bound_to_a_region_are_taken()
+	void capacity_excludes_slots_of_requests_pinned_to_a_region()
 	{
 		demand_rates rates{{{m_east, 30.0}}, 0.5, 0.0, {{m_west, 40.0}, {m_east, 1000.0}}};
 		const figures_by_region figures = figures_of(m_east, m_backends, rates, m_now);
@@ -205,9 +209,9 @@
 		CPPUNIT_ASSERT_DOUBLES_EQUAL(15.0, figures.at(m_east).demand, 1e-9);
 	}
 
-	/// A region with a tenth of the room, whose own customers may run there only: what may run elsewhere
-	/// leaves it, in place of refusing what may not.
-	void update_bound_requests_drive_others_out_of_a_small_home()
+	/// A region with a tenth of the capacity, whose own customers may run there only: requests that may run
+	/// elsewhere have to leave the region; otherwise requests that may not would be refused.
+	void update_moves_other_requests_out_of_a_home_full_of_pinned_requests()
 	{
 		service_steering steering(m_east, shared_bounds{{}, 1.0, std::chrono::milliseconds(2000)});
 		for (int i = 0; i < 100; ++i)
@@ -221,55 +225,56 @@
 			m_now += std::chrono::milliseconds(100);
 			steering.update(m_backends, {}, {}, m_now);
 		}
-		// 60 of either kind a second, 0.4 s each: 24 of the 35 planned slots are bound, 11 are left for 24.
+		// 60 requests of each kind per second, 0.4 s each: 24 of the 35 planned slots are pinned, 11 are left
+		// for 24.
 		CPPUNIT_ASSERT_DOUBLES_EQUAL(11.0 / 24.0, steering.shares.by_demand.share_of(m_east), 0.05);
 		CPPUNIT_ASSERT_DOUBLES_EQUAL(60.0, steering.bound_per_s().at(m_east), 2.0);
 	}
 
-	void figures_nothing_measured_regions_ask_alike()
+	void demand_without_measurements_is_equal_in_all_regions()
 	{
 		const figures_by_region figures = figures_of(m_east, m_backends, {{{m_east, 0.0}}, 0.4, 1.0}, m_now);
 		CPPUNIT_ASSERT_DOUBLES_EQUAL(28.0, figures.at(m_east).demand, 1e-9);
 		CPPUNIT_ASSERT_DOUBLES_EQUAL(28.0, figures.at(m_west).demand, 1e-9);
 	}
 
-	void plan_lost_third_of_the_slots_is_taken_at_once()
+	void plan_after_loss_of_a_third_of_the_slots_is_immediate()
 	{
 		const figures_by_region figures{{m_east, {10.0, 60.0}}, {m_west, {10.0, 60.0}}};
-		CPPUNIT_ASSERT(!plan_by_demand(m_east, figures, 80.0).at_once);
-		CPPUNIT_ASSERT(plan_by_demand(m_east, figures, 90.0).at_once);
+		CPPUNIT_ASSERT(!plan_by_demand(m_east, figures, 80.0).immediate);
+		CPPUNIT_ASSERT(plan_by_demand(m_east, figures, 90.0).immediate);
 	}
 
-	void plan_keyed_drained_slots_are_no_failure_ejected_ones_are()
+	void plan_for_keys_counts_ejected_slots_as_failed_but_not_drained_slots()
 	{
 		m_servers[0].registered.draining = true;
 		m_servers[1].registered.draining = true;
 		const share_by_region all_at_home{{m_east, 1.0}, {m_west, 0.0}};
 		region_plan plan = plan_of_keys(all_at_home);
-		CPPUNIT_ASSERT(!plan.at_once);
+		CPPUNIT_ASSERT(!plan.immediate);
 		CPPUNIT_ASSERT_DOUBLES_EQUAL(k_planned_part * 30.0 / 34.0, plan.shares.at(m_east), 1e-9);
 		eject(2);
 		plan = plan_of_keys(all_at_home);
-		CPPUNIT_ASSERT(plan.at_once);
+		CPPUNIT_ASSERT(plan.immediate);
 		CPPUNIT_ASSERT_DOUBLES_EQUAL(k_planned_part * 20.0 / 34.0, plan.shares.at(m_east), 1e-9);
 	}
 
-	void plan_keyed_failure_of_a_region_without_share_moves_nothing()
+	void plan_for_keys_ignores_the_failure_of_a_region_without_share()
 	{
 		eject(7);
 		eject(8);
-		CPPUNIT_ASSERT(!plan_of_keys({{m_east, 1.0}, {m_west, 0.0}}).at_once);
-		CPPUNIT_ASSERT(plan_of_keys({{m_east, 0.9}, {m_west, 0.1}}).at_once);
+		CPPUNIT_ASSERT(!plan_of_keys({{m_east, 1.0}, {m_west, 0.0}}).immediate);
+		CPPUNIT_ASSERT(plan_of_keys({{m_east, 0.9}, {m_west, 0.1}}).immediate);
 	}
 
-	/// Callers in the east ask for 34 slots, none in the west.
+	/// Plans for callers in the east with a demand of 34 slots, and none in the west.
 	region_plan plan_of_keys(const share_by_region& _in_force)
 	{
 		const figures_by_region figures = figures_of(m_east, m_backends, {{{m_east, 68.0}}, 0.5, 0.0}, m_now);
 		return plan_for_keys(m_east, figures, _in_force, m_backends, m_now);
 	}
 
-	/// Ticks for five seconds with the given rates of other nodes.
+	/// Updates for five seconds, with the given rates of other nodes.
 	void run_five_seconds(service_steering& _steering, const rate_by_region& _per_s)
 	{
 		for (int tick = 0; tick < 50; ++tick)
@@ -279,8 +284,9 @@
 		}
 	}
 
-	/// A rest of a whole region is an outage of it; its end is no reason to move all of its requests at once.
-	void update_region_whose_servers_all_rest_is_left_at_once_and_returned_to_at_the_permitted_pace()
+	/// A region whose backend servers all rest is as unusable as in an outage. The end of the rests must not
+	/// move all of its requests back at once.
+	void update_leaves_a_resting_region_at_once_and_returns_at_the_permitted_pace()
 	{
 		shared_bounds bounds;
 		bounds.max_shift = 0.15;
@@ -298,12 +304,13 @@
 		steering.update(m_backends, rates, {}, m_now);
 		CPPUNIT_ASSERT_DOUBLES_EQUAL(0.0, steering.shares.by_demand.share_of(m_east), 1e-9);
 		CPPUNIT_ASSERT_DOUBLES_EQUAL(0.0, steering.shares.of_keys.share_of(m_east), 1e-9);
-		run_five_seconds(steering, rates); // Two of them, a window, after the rests have ended.
+		run_five_seconds(
+		    steering, rates); // Two of the five seconds, one window, are after the end of the rests.
 		const double back = steering.shares.by_demand.share_of(m_east);
 		CPPUNIT_ASSERT_MESSAGE(std::to_string(back), back > 0.0 && back <= bounds.max_shift + 0.01);
 	}
 
-	void update_keys_stay_at_home_while_home_has_room()
+	void update_keeps_keys_at_home_while_home_has_capacity()
 	{
 		shared_bounds bounds;
 		bounds.max_shift = 0.15;
@@ -312,7 +319,7 @@
 		CPPUNIT_ASSERT_DOUBLES_EQUAL(1.0, steering.shares.of_keys.share_of(m_east), 1e-9);
 	}
 
-	void update_a_part_of_the_keys_leaves_an_overloaded_home()
+	void update_moves_some_keys_out_of_an_overloaded_home()
 	{
 		shared_bounds bounds;
 		bounds.max_shift = 0.15;
@@ -322,7 +329,7 @@
 		CPPUNIT_ASSERT(steering.shares.of_keys.share_of(m_east) > 0.4);
 	}
 
-	void peaks_decay_and_a_higher_rate_counts_at_once()
+	void peaks_decay_and_follow_a_higher_rate_at_once()
 	{
 		peak_rates peaks;
 		peaks.update({{m_east, 10.0}, {m_west, 1.0}}, m_now);
@@ -332,7 +339,7 @@
 		CPPUNIT_ASSERT_DOUBLES_EQUAL(5.0, after.at(m_west), 1e-9);
 	}
 
-	void first_rates_tell_more_as_time_passes()
+	void first_rates_cover_more_demand_as_time_passes()
 	{
 		first_rates first;
 		CPPUNIT_ASSERT_EQUAL(1.0, first.unmeasured({{m_east, 0.4}}, m_now));
@@ -341,14 +348,14 @@
 		CPPUNIT_ASSERT_DOUBLES_EQUAL(std::exp(-1.0), first.unmeasured({{m_east, 3.0}}, m_now), 1e-9);
 	}
 
-	void plans_are_rarer_only_in_fleets_of_thousands()
+	void plan_interval_is_longer_only_in_fleets_of_thousands()
 	{
 		CPPUNIT_ASSERT(plan_pause(60) < std::chrono::milliseconds(100));   // A tick of a small fleet.
 		CPPUNIT_ASSERT(plan_pause(1356) < std::chrono::milliseconds(250)); // A tick of a large one.
 		CPPUNIT_ASSERT(std::chrono::milliseconds(1000) == plan_pause(10000));
 	}
 
-	void update_logs_only_moves_of_five_hundredths()
+	void update_returns_only_changes_of_five_percent()
 	{
 		shared_bounds bounds;
 		bounds.max_shift = 0.15;
