--- a/src/steering/rollout_evidence.cpp
+++ b/src/steering/rollout_evidence.cpp
@@ -11,7 +11,7 @@
 {
 namespace
 {
-/// Ratio of one class of times to the one before.
+/// Ratio of the bounds of one class of answer times to the bounds of the class before.
 constexpr double k_class_ratio = 1.2;
 } // namespace
 
--- a/src/steering/rollout_p.h
+++ b/src/steering/rollout_p.h
@@ -2,9 +2,11 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// What a roll-out is: a service's requests move to the backend servers of another version of its software.
-/// An operator orders it; the nodes judge the version by a small part of the requests and write down how it
-/// ended. How: rollout_share_p.h, rollout_verdict_p.h, rollout_plan_p.h.
+/// Rollout: moves the requests of a service to the backend servers of another version of its software.
+///
+/// An operator orders a rollout. The nodes judge the version by a small fraction of the requests, and write
+/// the result to the store. See rollout_share_p.h (which requests), rollout_verdict_p.h (judging), and
+/// rollout_plan_p.h (when to write what). This file holds the types that these modules share.
 #pragma once
 
 #include "steering/names_p.h"
@@ -18,41 +20,42 @@
 /// Version of the software of backend servers.
 using version_name = text_id<struct version_name_tag>;
 
-/// An operator's order.
+/// Rollout ordered by an operator.
 struct rollout_order
 {
 	service_name service;
-	version_name target;                   ///< Version that shall serve.
-	std::chrono::milliseconds duration{0}; ///< From the order on, until it is to be decided.
-	std::int64_t revision = 0;             ///< Of the store, when it was written.
+	version_name target;                   ///< Version that is to serve the requests.
+	std::chrono::milliseconds duration{0}; ///< Time from the order until the rollout has to be decided.
+	std::int64_t revision = 0;             ///< Revision of the store at which the order was written.
 };
 
-/// How far a roll-out is. It only goes from running to one of the others; a new order starts anew.
+/// State of a rollout. It changes only from running to one of the others; a new order starts again from
+/// running.
 enum class rollout_state
 {
 	running,
-	complete,    ///< The target serves alone.
-	rolled_back, ///< The target gets nothing.
+	complete,    ///< The target version serves all requests.
+	rolled_back, ///< The target version gets no requests.
 };
 
-/// What the nodes wrote down of a roll-out.
+/// State of a rollout as the nodes wrote it to the store.
 struct rollout_status
 {
 	service_name service;
 	version_name target;
 	rollout_state state = rollout_state::running;
-	std::int64_t revision = 0; ///< Of the store, when it was written.
+	std::int64_t revision = 0; ///< Revision of the store at which the status was written.
 };
 
 /// Backend servers to which a request may go while a version is judged.
 enum class version_side
 {
-	any,    ///< Nothing is rolled out.
-	target, ///< Those of the target version.
-	others, ///< All others.
+	any,    ///< No rollout is running.
+	target, ///< Backend servers of the target version.
+	others, ///< All other backend servers.
 };
 
-/// Which backend servers take part in a choice.
+/// Selects the backend servers that a choice may use.
 struct version_rule
 {
 	version_side side = version_side::any;
--- a/src/steering/rollout_plan.cpp
+++ b/src/steering/rollout_plan.cpp
@@ -7,16 +7,18 @@
 {
 namespace
 {
-/// Part of the time of a roll-out after which a version that was not found bad serves. Later: it is complete
-/// late when the store is slow. Sooner: what turns bad late is not seen. Not measured.
+/// Fraction of a rollout's duration after which a version that was not found bad serves all requests. Later:
+/// the rollout completes late when the store is slow. Sooner: a version that turns bad late is not detected.
+/// Not measured.
 constexpr double k_complete_at = 0.8;
-/// Part of the time after which a version that no request has reached is given up. Not measured.
+/// Fraction of a rollout's duration after which a version without any request is rolled back. Not measured.
 constexpr double k_give_up_at = 0.95;
-/// Milliseconds for which the stand-in lets the first one write. Longer: a dead first one holds a verdict up.
-/// Shorter: both write, and one is refused. A conditional write and its news take some 0.2 s.
+/// Milliseconds for which the backup node lets the first node write. Longer: a crashed first node delays a
+/// verdict. Shorter: both nodes write, and one write is refused. A conditional write and its notification
+/// take about 0.2 s.
 constexpr std::chrono::milliseconds k_stand_in_wait{1000};
 
-bool past(
+bool elapsed(
     steady_time::duration _passed, const rollout_order& _order, double _part, steady_time::duration _wait)
 {
 	return _passed >= std::chrono::duration_cast<steady_time::duration>(_part * _order.duration) + _wait;
@@ -38,11 +40,11 @@
 		           ? std::optional<rollout_step>({rollout_state::rolled_back, rollout_reason::judged_bad})
 		           : std::nullopt;
 	}
-	if (_view.ended_at_target > 0 && past(_view.passed, _order, k_complete_at, wait))
+	if (_view.ended_at_target > 0 && elapsed(_view.passed, _order, k_complete_at, wait))
 	{
 		return rollout_step{rollout_state::complete, rollout_reason::judged};
 	}
-	if (past(_view.passed, _order, k_give_up_at, wait))
+	if (elapsed(_view.passed, _order, k_give_up_at, wait))
 	{
 		return rollout_step{rollout_state::rolled_back, rollout_reason::not_seen};
 	}
--- a/src/steering/rollout_plan_p.h
+++ b/src/steering/rollout_plan_p.h
@@ -2,23 +2,24 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Decides how a roll-out ends, and when a node writes that down.
+/// Rollout plan: decides how a rollout ends, and when a node writes its state to the store.
 ///
-/// Inputs: the order; what is written down; time since this node learned of the order; the evidence; whether
-/// this node is the first one to write, or its stand-in; whether any backend server runs the target.
+/// Inputs: the order; the state in the store; time since this node learned of the order; the evidence;
+/// whether this node is the first node to write or its backup.
 ///
-/// Rule:
+/// Algorithm:
 /// - "running" is written at once; "rolled back" as soon as the version is found bad; "complete" at
-///   k_complete_at of the time, if requests have ended there and it was not found bad. A version that turns
-///   bad late is watched until then. One that had no request by k_give_up_at is rolled back: nobody can tell
-///   what it does.
-/// - The first of two nodes (node_ring_p.h) writes; the stand-in does so k_stand_in_wait later, if nothing
-///   changed. Both write under the condition that the key is as they know it, so what was decided stays
-///   decided, whoever else takes itself for the first.
+///   k_complete_at of the duration, if requests have ended at the target version and it was not found bad.
+///   Until then the version is watched, so one that turns bad late is detected. A version without any request
+///   by k_give_up_at of the duration is rolled back, since nothing is known about it.
+/// - The first of two nodes (node_ring_p.h) writes; the backup node writes k_stand_in_wait later if the state
+/// has not changed. Both write under the condition that the key in the store is unchanged, so a decided
+/// rollout stays decided, even if several nodes consider themselves the first.
 ///
-/// Why not a lease: the conditional write gives all that a lease would, without a key to keep alive.
+/// Alternatives: a lease for the deciding node. The conditional write gives the same guarantee without a key
+/// to keep alive.
 ///
-/// Relies on: the store's conditional writes.
+/// Relies on the conditional writes of the store.
 #pragma once
 
 #include "base/clock_p.h"
@@ -29,7 +30,7 @@
 
 namespace larkrack
 {
-/// Which of the nodes that decide a node is.
+/// Rank of a node among those that decide a rollout.
 enum class decider_rank
 {
 	first,
@@ -37,35 +38,35 @@
 	none,
 };
 
-/// What the decision goes by.
+/// Inputs of plan_rollout().
 struct rollout_view
 {
-	std::optional<rollout_state> written; ///< Nothing: no status of this order.
-	steady_time::duration passed{};       ///< Since the order became known here.
-	steady_time::duration found_bad{};    ///< Since the evidence shows that the version is bad.
+	std::optional<rollout_state> written; ///< State in the store; nothing: no status of this order.
+	steady_time::duration passed{};       ///< Time since this node learned of the order.
+	steady_time::duration found_bad{};    ///< Time since the evidence first showed that the version is bad.
 	rollout_verdict verdict;
-	std::uint32_t ended_at_target = 0; ///< Requests.
+	std::uint32_t ended_at_target = 0; ///< Requests that ended at the target version.
 	decider_rank rank = decider_rank::none;
 };
 
-/// Why a state is to be written.
+/// Reason for which a state is written.
 enum class rollout_reason
 {
-	ordered,    ///< Running: the order is known.
-	judged_bad, ///< Rolled back: the evidence.
-	not_seen,   ///< Rolled back: no request ended there in time.
-	judged,     ///< Complete: nothing was found until it was time.
+	ordered,    ///< Running: this node knows the order.
+	judged_bad, ///< Rolled back: the evidence shows that the version is bad.
+	not_seen,   ///< Rolled back: no request ended at the target version in time.
+	judged,     ///< Complete: the version was not found bad in time.
 };
 
-/// A state that a node is to write.
+/// State that a node has to write.
 struct rollout_step
 {
 	rollout_state state;
 	rollout_reason reason;
 };
 
-/// @returns What this node is to write now, or nothing.
+/// @returns The state that this node has to write now, or nothing.
 std::optional<rollout_step> plan_rollout(const rollout_order& _order, const rollout_view& _view);
-/// @returns Whether a status is about this order, and not about one before.
+/// @returns Whether a status belongs to this order, and not to an earlier one.
 bool is_status_of(const rollout_status& _status, const rollout_order& _order);
 } // namespace larkrack
--- a/src/steering/rollout_verdict.cpp
+++ b/src/steering/rollout_verdict.cpp
@@ -10,26 +10,27 @@
 {
 namespace
 {
-/// Failures of a bad version for each one of the others, that the test looks for. Higher: a version that is a
-/// little worse is not found. Lower: more requests until a verdict. Not measured.
+/// Ratio of the failure rate of a bad version, as the test assumes it, to that of the others. Higher: a
+/// version that is a little worse is not detected. Lower: more requests until a verdict. Not measured.
 constexpr double k_failure_ratio = 2.5;
-/// Part of the requests that a bad version fails beyond that, no unit. Same trade.
+/// Fraction of the requests that a bad version fails in addition to that ratio. Same trade-off.
 constexpr double k_failure_step = 0.03;
-/// Most part of failures that is looked for: all would make one good answer a proof against it.
+/// Maximum failure rate that the test assumes; with 1, a single good answer would prove that the version is
+/// not bad.
 constexpr double k_most_failures = 0.9;
-/// Probability with which one test takes a good version for bad. Lower: more requests until a verdict: a
-/// version that fails 4 of 10 requests is found by its 6th failure at 1e-4 (worked out).
+/// Probability with which one test takes a good version for bad. Lower: more requests until a verdict; a
+/// version that fails 4 of 10 requests is found by its 6th failure at 1e-4 (calculated).
 constexpr double k_false_alarm = 1e-4;
-/// Failures of the others that are added to those seen, so that what they do is not taken for nothing.
+/// Failures added to those of the others, so that their failure rate is never taken for 0.
 constexpr double k_prior_failures = 1.0;
-/// Answers of either side from which on times are compared. More: a slow version is found later. Fewer: a
-/// tenth of them is no measure. Not measured.
+/// Minimum number of answers of each side for a comparison of answer times. More: a slow version is found
+/// later. Fewer: a tenth of the answers is too small a sample. Not measured.
 constexpr std::uint32_t k_least_timed = 60;
-/// Part of the answers, the fast ones, by which times are compared, no unit. Higher: runs on unknown keys
-/// come in. Lower: less steady. Not measured.
+/// Quantile of the answer times that is compared. Higher: includes runs on unknown keys. Lower: less stable.
+/// Not measured.
 constexpr double k_fast_part = 0.1;
-/// Times longer from which on a version is slow. Higher: one that is twice as slow is not found. Lower:
-/// versions that differ by the classes of times (a fifth) are. Not measured.
+/// Ratio of answer times from which on a version is slow. Higher: a version that is twice as slow is not
+/// found. Lower: versions whose times differ by one class (a fifth) are taken for slow. Not measured.
 constexpr double k_slow_ratio = 1.6;
 
 bool fails_more(const route_evidence& _evidence)
@@ -39,7 +40,7 @@
 	const double bad = std::min(k_most_failures, k_failure_ratio * usual + k_failure_step);
 	if (bad <= usual)
 	{
-		return false; // The others fail nearly always: there is nothing to compare with.
+		return false; // The others fail nearly always, so there is nothing to compare with.
 	}
 	const double failed = _evidence.target.failed;
 	const double served = static_cast<double>(_evidence.target.ended) - failed;
@@ -67,7 +68,7 @@
 		{
 			return {verdict_reason::failures, route};
 		}
-		// Routes differ in their work, so their times are compared one by one only.
+		// Routes differ in their work, so answer times are compared for each route only.
 		if (is_slower(evidence))
 		{
 			return {verdict_reason::slow, route};
--- a/tests/rollout_model_test.cpp
+++ b/tests/rollout_model_test.cpp
@@ -2,8 +2,8 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Whole fleets that roll a version out, on a virtual clock: requests, reports that take time and get lost,
-/// and a store with conditional writes that may be away.
+/// Simulates fleets that roll a version out, on a virtual clock: requests, reports that are delayed and lost,
+/// and a store with conditional writes that may be unreachable.
 
 #include "entry_fixture.h"
 
@@ -16,13 +16,15 @@
 {
 using ms = std::chrono::milliseconds;
 
-constexpr ms k_step{50};         ///< Of the virtual clock.
-constexpr ms k_news{250};        ///< From a write to all nodes in touch.
-constexpr ms k_death_seen{1000}; ///< Until others know that a node is dead.
-constexpr double k_bound = 0.1;  ///< Part of the requests that a version under judgement may get.
+constexpr ms k_step{50}; ///< Step of the virtual clock.
+/// Delay from a write to the notification of all nodes that are not cut off.
+constexpr ms k_store_notification_delay{250};
+constexpr ms k_crash_detection_time{1000}; ///< Time until other nodes detect a crash.
+/// Maximum fraction of the requests that a version may get while it is judged.
+constexpr double k_bound = 0.1;
 
-/// Sees the nodes that the model says.
-class scripted_fleet : public fleet_view_alone
+/// Fleet view with the nodes that the model sets.
+class fleet_view_fake : public fleet_view_alone
 {
 public:
 	quota_holders holders_of(std::uint64_t) const override
@@ -38,11 +40,11 @@
 	nodes_in_sight sight;
 };
 
-/// A fleet of which each node takes as many requests.
+/// Simulates a fleet whose nodes all get the same number of requests.
 class rollout_model
 {
 public:
-	/// @param[in] _per_s Requests a second at each node.
+	/// @param[in] _per_s Requests per second at each node.
 	rollout_model(int _nodes, double _per_s, double _failing) : m_per_s(_per_s), m_failing(_failing)
 	{
 		m_clock.advance(ms(1000));
@@ -53,13 +55,13 @@
 		}
 	}
 
-	/// Starts a node, or starts it anew: it knows nothing but what the store holds.
+	/// Starts or restarts a node: it knows only what the store holds.
 	void start(int _node)
 	{
-		node& one = m_nodes.at(static_cast<std::size_t>(_node));
-		one.alive = true;
-		one.view = std::make_unique<scripted_fleet>();
-		one.registry = std::make_unique<backend_registry>(
+		node& entry = m_nodes.at(static_cast<std::size_t>(_node));
+		entry.alive = true;
+		entry.view = std::make_unique<fleet_view_fake>();
+		entry.registry = std::make_unique<backend_registry>(
 		    std::unordered_map<std::string, std::string>{{"east-a", "east"}});
 		for (const char* version : {"v1", "v2"})
 		{
@@ -68,10 +70,10 @@
 			record.service = m_service;
 			record.domain = domain_name("east-a");
 			record.version = version_name(version);
-			one.registry->put(record, m_clock.steady());
+			entry.registry->put(record, m_clock.steady());
 		}
-		one.all = std::make_unique<rollouts>(
-		    m_clock, *one.view, *one.registry, k_bound, name_of(_node), ++m_incarnation, m_log,
+		entry.service_rollouts = std::make_unique<rollouts>(
+		    m_clock, *entry.view, *entry.registry, k_bound, name_of(_node), ++m_incarnation, m_log,
 		    [this, _node](const std::vector<std::uint8_t>& _bytes, const std::string& _ip)
 		    {
 			    m_sent.push_back({m_clock.steady() + k_step, _node, std::stoi(_ip), _bytes});
@@ -82,35 +84,35 @@
 		    });
 		if (0 != m_order.revision)
 		{
-			one.all->on_order(m_order);
+			entry.service_rollouts->on_order(m_order);
 		}
 		if (m_status)
 		{
-			one.all->on_status(*m_status);
+			entry.service_rollouts->on_status(*m_status);
 		}
 	}
-	void kill(int _node)
+	void crash(int _node)
 	{
-		node& one = m_nodes.at(static_cast<std::size_t>(_node));
-		one.alive = false;
-		one.died_at = m_clock.steady();
+		node& entry = m_nodes.at(static_cast<std::size_t>(_node));
+		entry.alive = false;
+		entry.crashed_at = m_clock.steady();
 	}
-	void set_cut(int _node, bool _cut)
+	void set_cut_off(int _node, bool _cut_off)
 	{
-		m_nodes.at(static_cast<std::size_t>(_node)).cut = _cut;
+		m_nodes.at(static_cast<std::size_t>(_node)).cut_off = _cut_off;
 	}
-	void set_store_away(bool _away)
+	void set_store_down(bool _down)
 	{
-		m_store_away = _away;
+		m_store_down = _down;
 	}
 	void order(ms _duration)
 	{
 		m_order = {m_service, version_name("v2"), _duration, ++m_revision};
-		for (node& one : m_nodes)
+		for (node& entry : m_nodes)
 		{
-			if (one.alive && !one.cut)
+			if (entry.alive && !entry.cut_off)
 			{
-				one.all->on_order(m_order);
+				entry.service_rollouts->on_order(m_order);
 			}
 		}
 	}
@@ -122,12 +124,12 @@
 			m_clock.advance(k_step);
 			refresh_views();
 			deliver();
-			for (node& one : m_nodes)
+			for (node& entry : m_nodes)
 			{
-				if (one.alive)
+				if (entry.alive)
 				{
-					one.all->tick();
-					take_requests(one);
+					entry.service_rollouts->tick();
+					take_requests(entry);
 				}
 			}
 		}
@@ -137,7 +139,7 @@
 	{
 		return m_status ? std::optional(m_status->state) : std::nullopt;
 	}
-	/// @returns Part of the requests that met the target before it was decided on.
+	/// @returns Fraction of the requests that went to the target version before the rollout was decided.
 	double part_at_target() const
 	{
 		return static_cast<double>(m_exposed) / static_cast<double>(std::max(1, m_requests));
@@ -158,13 +160,13 @@
 private:
 	struct node
 	{
-		std::unique_ptr<scripted_fleet> view;
+		std::unique_ptr<fleet_view_fake> view;
 		std::unique_ptr<backend_registry> registry;
-		std::unique_ptr<rollouts> all;
+		std::unique_ptr<rollouts> service_rollouts;
 		bool alive = false;
-		bool cut = false;
-		steady_time died_at{};
-		double due = 0.0; ///< Parts of a request.
+		bool cut_off = false;
+		steady_time crashed_at{};
+		double due = 0.0; ///< Requests due, including fractions.
 	};
 	struct datagram
 	{
@@ -173,7 +175,7 @@
 		int to;
 		std::vector<std::uint8_t> bytes;
 	};
-	struct told_status
+	struct pending_status
 	{
 		steady_time at;
 		rollout_status status;
@@ -186,7 +188,7 @@
 
 	bool seen_live(const node& _node) const
 	{
-		return _node.alive || m_clock.steady() - _node.died_at < k_death_seen;
+		return _node.alive || m_clock.steady() - _node.crashed_at < k_crash_detection_time;
 	}
 
 	void refresh_views()
@@ -194,16 +196,16 @@
 		std::vector<int> live;
 		for (std::size_t i = 0; i < m_nodes.size(); ++i)
 		{
-			if (seen_live(m_nodes[i]) && !m_nodes[i].cut)
+			if (seen_live(m_nodes[i]) && !m_nodes[i].cut_off)
 			{
 				live.push_back(static_cast<int>(i));
 			}
 		}
 		for (std::size_t i = 0; i < m_nodes.size(); ++i)
 		{
-			scripted_fleet& view = *m_nodes[i].view;
+			fleet_view_fake& view = *m_nodes[i].view;
 			const int self = static_cast<int>(i);
-			const std::vector<int> seen = m_nodes[i].cut ? std::vector<int>{self} : live;
+			const std::vector<int> seen = m_nodes[i].cut_off ? std::vector<int>{self} : live;
 			view.sight = {static_cast<double>(seen.size()), static_cast<double>(m_nodes.size()), 0};
 			const auto holder = [self](int _node)
 			{
@@ -218,50 +220,51 @@
 	{
 		const std::vector<datagram> due = std::move(m_sent);
 		m_sent.clear();
-		for (const datagram& one : due)
+		for (const datagram& entry : due)
 		{
-			const node& from = m_nodes.at(static_cast<std::size_t>(one.from));
-			node& to = m_nodes.at(static_cast<std::size_t>(one.to));
+			const node& from = m_nodes.at(static_cast<std::size_t>(entry.from));
+			node& to = m_nodes.at(static_cast<std::size_t>(entry.to));
 			const bool lost = std::uniform_real_distribution<double>(0.0, 1.0)(m_random) < 0.05;
-			result<rollout_report> report = decode_rollout_report(one.bytes.data(), one.bytes.size());
+			result<rollout_report> report = decode_rollout_report(entry.bytes.data(), entry.bytes.size());
 			CPPUNIT_ASSERT(
-			    is_rollout_report(one.bytes.data(), one.bytes.size()) && nullptr != value_of(report));
-			if (to.alive && !from.cut && !to.cut && !lost)
+			    is_rollout_report(entry.bytes.data(), entry.bytes.size()) && nullptr != value_of(report));
+			if (to.alive && !from.cut_off && !to.cut_off && !lost)
 			{
-				to.all->on_report(*value_of(report));
+				to.service_rollouts->on_report(*value_of(report));
 			}
 		}
-		const auto is_due = [this](const told_status& _one)
+		const auto is_due = [this](const pending_status& _one)
 		{
 			return _one.at <= m_clock.steady();
 		};
-		for (const told_status& one : m_told)
+		for (const pending_status& entry : m_pending_statuses)
 		{
 			for (node& to : m_nodes)
 			{
-				if (is_due(one) && to.alive && !to.cut)
+				if (is_due(entry) && to.alive && !to.cut_off)
 				{
-					to.all->on_status(one.status);
+					to.service_rollouts->on_status(entry.status);
 				}
 			}
 		}
-		m_told.erase(std::remove_if(m_told.begin(), m_told.end(), is_due), m_told.end());
+		m_pending_statuses.erase(std::remove_if(m_pending_statuses.begin(), m_pending_statuses.end(), is_due),
+		    m_pending_statuses.end());
 	}
 
 	void write(int _node, const rollout_status& _status, std::int64_t _expected)
 	{
 		const node& from = m_nodes.at(static_cast<std::size_t>(_node));
 		const std::int64_t current = m_status ? m_status->revision : 0;
-		if (m_store_away || from.cut || _expected != current)
+		if (m_store_down || from.cut_off || _expected != current)
 		{
 			return;
 		}
-		// What was decided must not be decided anew.
+		// A decided rollout must not be decided again.
 		CPPUNIT_ASSERT(!m_status || rollout_state::running == m_status->state);
 		m_status = _status;
 		m_status->revision = ++m_revision;
 		++m_states_written;
-		m_told.push_back({m_clock.steady() + k_news, *m_status});
+		m_pending_statuses.push_back({m_clock.steady() + k_store_notification_delay, *m_status});
 	}
 
 	void take_requests(node& _node)
@@ -270,7 +273,7 @@
 		for (; _node.due >= 1.0; _node.due -= 1.0)
 		{
 			std::uniform_real_distribution<double> draw(0.0, 1.0);
-			const version_rule rule = _node.all->rule_for(m_service, draw(m_random));
+			const version_rule rule = _node.service_rollouts->rule_for(m_service, draw(m_random));
 			const bool to_target = version_side::target == rule.side;
 			version_attempt attempt;
 			attempt.service = m_service;
@@ -281,7 +284,7 @@
 			{
 				attempt.time = ms(300);
 			}
-			_node.all->on_attempt_end(attempt);
+			_node.service_rollouts->on_attempt_end(attempt);
 			const bool counts = !m_status || rollout_state::running == m_status->state;
 			m_requests += counts ? 1 : 0;
 			m_exposed += counts && to_target ? 1 : 0;
@@ -297,12 +300,12 @@
 	double m_failing;
 	std::vector<node> m_nodes;
 	std::vector<datagram> m_sent;
-	std::vector<told_status> m_told;
+	std::vector<pending_status> m_pending_statuses;
 	rollout_order m_order;
 	std::optional<rollout_status> m_status;
 	std::int64_t m_revision = 1;
 	std::uint64_t m_incarnation = 0;
-	bool m_store_away = false;
+	bool m_store_down = false;
 	int m_requests = 0;
 	int m_exposed = 0;
 	int m_at_target = 0;
@@ -311,7 +314,7 @@
 	std::minstd_rand m_random{20261203};
 };
 
-void print(const char* _what, int _nodes, const rollout_model& _model)
+void print_figures(const char* _what, int _nodes, const rollout_model& _model)
 {
 	if (nullptr != std::getenv("LARKRACK_FIGURES"))
 	{
@@ -324,14 +327,14 @@
 class rollout_model_test : public CppUnit::TestFixture
 {
 	CPPUNIT_TEST_SUITE(rollout_model_test);
-	CPPUNIT_TEST(good_version_is_complete_in_time_whatever_the_size);
-	CPPUNIT_TEST(bad_version_is_rolled_back_and_gets_nothing_more);
-	CPPUNIT_TEST(bad_version_is_rolled_back_although_both_deciders_die);
-	CPPUNIT_TEST(node_that_is_cut_off_exposes_nobody);
-	CPPUNIT_TEST(verdict_holds_while_the_store_is_away);
-	CPPUNIT_TEST(nodes_that_start_anew_keep_to_the_bound);
+	CPPUNIT_TEST(good_version_completes_in_time_at_any_size);
+	CPPUNIT_TEST(bad_version_is_rolled_back_and_gets_no_more_requests);
+	CPPUNIT_TEST(bad_version_is_rolled_back_when_both_deciders_crash);
+	CPPUNIT_TEST(node_that_is_cut_off_exposes_no_requests);
+	CPPUNIT_TEST(verdict_holds_while_the_store_is_down);
+	CPPUNIT_TEST(restarted_nodes_keep_to_the_bound);
 	CPPUNIT_TEST(report_encoded_and_decoded_is_the_same);
-	CPPUNIT_TEST(report_that_no_node_can_send_is_refused);
+	CPPUNIT_TEST(invalid_report_is_refused);
 	CPPUNIT_TEST_SUITE_END();
 
 protected:
@@ -361,13 +364,13 @@
 	void report_encoded_and_decoded_is_the_same()
 	{
 		const std::vector<std::uint8_t> bytes = encode(full_report());
-		CPPUNIT_ASSERT(bytes.size() < 1400); // One datagram.
+		CPPUNIT_ASSERT(bytes.size() < 1400); // Fits into one datagram.
 		result<rollout_report> decoded = decode_rollout_report(bytes.data(), bytes.size());
 		CPPUNIT_ASSERT(nullptr != value_of(decoded));
 		CPPUNIT_ASSERT(bytes == encode(*value_of(decoded)));
 	}
 
-	void report_that_no_node_can_send_is_refused()
+	void invalid_report_is_refused()
 	{
 		const std::vector<std::uint8_t> bytes = encode(full_report());
 		for (std::size_t size = 0; size < bytes.size(); ++size)
@@ -388,7 +391,7 @@
 		}
 	}
 
-	void good_version_is_complete_in_time_whatever_the_size()
+	void good_version_completes_in_time_at_any_size()
 	{
 		for (const int nodes : {1, 9, 78, 295})
 		{
@@ -397,20 +400,20 @@
 			model.run(ms(9000));
 			CPPUNIT_ASSERT(rollout_state::running == model.state());
 			model.run(ms(2000));
-			print("good", nodes, model);
+			print_figures("good", nodes, model);
 			CPPUNIT_ASSERT(rollout_state::complete == model.state());
 			CPPUNIT_ASSERT(model.part_at_target() <= k_bound);
 		}
 	}
 
-	void bad_version_is_rolled_back_and_gets_nothing_more()
+	void bad_version_is_rolled_back_and_gets_no_more_requests()
 	{
 		for (const int nodes : {9, 78, 295})
 		{
 			rollout_model model(nodes, nodes > 78 ? 5.0 : 20.0, 0.4);
 			model.order(ms(12000));
 			model.run(ms(6000));
-			print("fails 0.4", nodes, model);
+			print_figures("fails 0.4", nodes, model);
 			CPPUNIT_ASSERT(rollout_state::rolled_back == model.state());
 			CPPUNIT_ASSERT(model.part_at_target() <= k_bound);
 			const int before = model.at_target();
@@ -419,26 +422,26 @@
 		}
 	}
 
-	void bad_version_is_rolled_back_although_both_deciders_die()
+	void bad_version_is_rolled_back_when_both_deciders_crash()
 	{
 		rollout_model model(30, 10.0, 0.4);
 		model.order(ms(12000));
 		model.run(ms(200));
-		model.kill(0);
-		model.kill(1);
+		model.crash(0);
+		model.crash(1);
 		model.run(ms(5000));
-		print("both deciders die", 30, model);
+		print_figures("both deciders die", 30, model);
 		CPPUNIT_ASSERT(rollout_state::rolled_back == model.state());
 		CPPUNIT_ASSERT(model.part_at_target() <= k_bound);
 	}
 
-	void node_that_is_cut_off_exposes_nobody()
+	void node_that_is_cut_off_exposes_no_requests()
 	{
 		rollout_model model(9, 20.0, 0.002);
 		model.order(ms(12000));
 		for (int node = 0; node < 9; ++node)
 		{
-			model.set_cut(node, true);
+			model.set_cut_off(node, true);
 		}
 		model.run(ms(50));
 		const int before = model.at_target();
@@ -446,27 +449,27 @@
 		CPPUNIT_ASSERT_EQUAL(before, model.at_target());
 	}
 
-	void verdict_holds_while_the_store_is_away()
+	void verdict_holds_while_the_store_is_down()
 	{
 		rollout_model model(30, 10.0, 0.4);
 		model.order(ms(20000));
-		model.set_store_away(true);
+		model.set_store_down(true);
 		model.run(ms(8000));
 		CPPUNIT_ASSERT(!model.state());
 		CPPUNIT_ASSERT(model.part_at_target() <= k_bound);
-		model.set_store_away(false);
+		model.set_store_down(false);
 		model.run(ms(2500));
 		CPPUNIT_ASSERT(rollout_state::rolled_back == model.state());
 		CPPUNIT_ASSERT_EQUAL(1, model.states_written());
 	}
 
-	void nodes_that_start_anew_keep_to_the_bound()
+	void restarted_nodes_keep_to_the_bound()
 	{
 		rollout_model model(9, 20.0, 0.02);
 		model.order(ms(12000));
 		for (int round = 0; round < 18; ++round)
 		{
-			model.kill(round % 9);
+			model.crash(round % 9);
 			model.run(ms(250));
 			model.start(round % 9);
 			model.run(ms(250));
--- a/tests/steering_rollout_test.cpp
+++ b/tests/steering_rollout_test.cpp
@@ -2,7 +2,8 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Decisions of a roll-out: who meets the new version, what the evidence shows, and when what is written.
+/// Tests of the decisions of a rollout: which requests go to the new version, what the evidence shows, and
+/// when which state is written.
 
 #include "fixtures.h"
 
@@ -18,16 +19,16 @@
 {
 using ms = std::chrono::milliseconds;
 
-/// A version as it is played: how it fails and how long it takes.
-struct played_version
+/// A simulated version: how often it fails and how long it takes.
+struct simulated_version
 {
-	double failing = 0.0; ///< Part of its answers.
-	double slower = 1.0;  ///< Times as long as the others.
+	double failing = 0.0; ///< Fraction of its answers.
+	double slower = 1.0;  ///< Ratio of its answer times to those of the others.
 };
 
-/// One request of a route with runs of 900 ms, or of 270 ms where its key is known.
-void play_request(
-    version_counts& _side, const played_version& _version, double _known, std::minstd_rand& _random)
+/// Simulates one request of a route whose runs take 900 ms, or 270 ms for a known key.
+void simulate_request(
+    version_counts& _side, const simulated_version& _version, double _known, std::minstd_rand& _random)
 {
 	std::uniform_real_distribution<double> draw(0.0, 1.0);
 	++_side.ended;
@@ -41,41 +42,41 @@
 	_side.count_time(ms(static_cast<int>(_version.slower * run_ms * spread)));
 }
 
-/// What a roll-out came to.
-struct played_rollout
+/// Result of a simulated rollout.
+struct simulated_rollout
 {
-	bool found_bad = false;
-	double exposed = 0.0; ///< Requests until then.
-	double failed = 0.0;  ///< Of them.
+	bool detected = false;
+	double exposed = 0.0; ///< Requests to the target until the verdict.
+	double failed = 0.0;  ///< Failed requests among them.
 };
 
-/// A roll-out with 400 requests a second on five routes, 9 of 100 to the target, for 10 s.
-/// @param[in] _bad_route Whether the target is bad on one route alone.
-/// @param[in] _bad_after Requests to the target after which it turns bad.
-played_rollout play(const played_version& _target, const played_version& _others, bool _bad_route,
-    int _bad_after, std::minstd_rand& _random)
+/// Simulates a rollout with 400 requests per second on five routes, 9 of 100 to the target, for 10 s.
+/// @param[in] _bad_route Whether the target is bad on one route only.
+/// @param[in] _bad_after Number of requests to the target after which it turns bad.
+simulated_rollout simulate(const simulated_version& _target, const simulated_version& _others,
+    bool _bad_route, int _bad_after, std::minstd_rand& _random)
 {
 	constexpr int k_requests = 4000;
 	constexpr int k_routes = 5;
 	rollout_evidence evidence;
-	played_rollout result;
+	simulated_rollout result;
 	for (int i = 0; i < k_requests; ++i)
 	{
 		const int route = i % k_routes;
 		route_evidence& counts = evidence["r" + std::to_string(route)];
-		play_request(counts.others, _others, 0.8, _random);
+		simulate_request(counts.others, _others, 0.8, _random);
 		if (std::uniform_real_distribution<double>(0.0, 1.0)(_random) >= 0.09)
 		{
 			continue;
 		}
 		const bool is_bad = result.exposed >= _bad_after && (!_bad_route || 0 == route);
 		const version_counts before = counts.target;
-		play_request(counts.target, is_bad ? _target : _others, 0.6, _random);
+		simulate_request(counts.target, is_bad ? _target : _others, 0.6, _random);
 		++result.exposed;
 		result.failed += counts.target.failed - before.failed;
 		if (judge_version(evidence).is_bad())
 		{
-			result.found_bad = true;
+			result.detected = true;
 			return result;
 		}
 	}
@@ -86,14 +87,14 @@
 class rollout_share_test : public CppUnit::TestFixture
 {
 	CPPUNIT_TEST_SUITE(rollout_share_test);
-	CPPUNIT_TEST(exposed_requests_never_exceed_the_part_of_those_seen);
+	CPPUNIT_TEST(exposed_requests_never_exceed_their_fraction);
 	CPPUNIT_TEST(exposed_keys_are_the_same_at_all_nodes);
-	CPPUNIT_TEST(nobody_is_exposed_where_nothing_is_allowed);
+	CPPUNIT_TEST(no_request_is_exposed_with_a_bound_of_zero);
 	CPPUNIT_TEST_SUITE_END();
 
 protected:
-	/// Many nodes with few requests each, the usual case of a large fleet, and one hot key.
-	void exposed_requests_never_exceed_the_part_of_those_seen()
+	/// Many nodes with few requests each, as in a large fleet, and one hot key.
+	void exposed_requests_never_exceed_their_fraction()
 	{
 		std::minstd_rand random(7);
 		int seen = 0;
@@ -128,7 +129,7 @@
 		}
 	}
 
-	void nobody_is_exposed_where_nothing_is_allowed()
+	void no_request_is_exposed_with_a_bound_of_zero()
 	{
 		rollout_share share(0.0);
 		for (int i = 0; i < 100; ++i)
@@ -142,59 +143,61 @@
 {
 	CPPUNIT_TEST_SUITE(rollout_verdict_test);
 	CPPUNIT_TEST(good_versions_are_hardly_ever_found_bad);
-	CPPUNIT_TEST(bad_day_of_all_is_not_held_against_the_version);
+	CPPUNIT_TEST(fault_of_all_versions_does_not_count_against_the_target);
 	CPPUNIT_TEST(failing_versions_are_found_within_fifty_bad_answers);
 	CPPUNIT_TEST(slow_versions_are_found);
 	CPPUNIT_TEST(version_that_is_bad_on_one_route_or_later_is_found);
-	CPPUNIT_TEST(bound_on_the_difference_takes_good_versions_for_bad_more_often);
-	CPPUNIT_TEST(routes_beyond_those_told_count_together);
+	CPPUNIT_TEST(bound_on_the_difference_finds_good_versions_bad_more_often);
+	CPPUNIT_TEST(routes_beyond_the_maximum_count_together);
 	CPPUNIT_TEST_SUITE_END();
 
 protected:
-	static constexpr int k_plays = 40;
+	static constexpr int k_rollouts = 40;
 
-	/// @returns Part of some roll-outs in which the version is found bad, and the most that met it.
-	static std::pair<double, played_rollout> play_many(const char* _name, const played_version& _target,
-	    const played_version& _others, bool _bad_route = false, int _bad_after = 0)
+	/// @returns Fraction of the rollouts in which the version is found bad, and the maximum of the requests
+	/// that reached it.
+	static std::pair<double, simulated_rollout> simulate_many(const char* _name,
+	    const simulated_version& _target, const simulated_version& _others, bool _bad_route = false,
+	    int _bad_after = 0)
 	{
 		std::minstd_rand random(20261203);
 		double found = 0.0;
-		played_rollout most;
-		for (int i = 0; i < k_plays; ++i)
+		simulated_rollout maximum;
+		for (int i = 0; i < k_rollouts; ++i)
 		{
-			const played_rollout one = play(_target, _others, _bad_route, _bad_after, random);
-			found += one.found_bad ? 1.0 : 0.0;
-			most.exposed = std::max(most.exposed, one.exposed);
-			most.failed = std::max(most.failed, one.failed);
+			const simulated_rollout result = simulate(_target, _others, _bad_route, _bad_after, random);
+			found += result.detected ? 1.0 : 0.0;
+			maximum.exposed = std::max(maximum.exposed, result.exposed);
+			maximum.failed = std::max(maximum.failed, result.failed);
 		}
 		if (nullptr != std::getenv("LARKRACK_FIGURES"))
 		{
-			std::cout << _name << ": found " << found / k_plays << ", most exposed " << most.exposed
-			          << ", most failed " << most.failed << std::endl;
+			std::cout << _name << ": found " << found / k_rollouts << ", most exposed " << maximum.exposed
+			          << ", most failed " << maximum.failed << std::endl;
 		}
-		return {found / k_plays, most};
+		return {found / k_rollouts, maximum};
 	}
 
 	void good_versions_are_hardly_ever_found_bad()
 	{
-		CPPUNIT_ASSERT_EQUAL(0.0, play_many("good", {}, {}).first);
+		CPPUNIT_ASSERT_EQUAL(0.0, simulate_many("good", {}, {}).first);
 		CPPUNIT_ASSERT_EQUAL(
-		    0.0, play_many("good, 0.4% fail on both sides", {0.004, 1.0}, {0.004, 1.0}).first);
+		    0.0, simulate_many("good, 0.4% fail on both sides", {0.004, 1.0}, {0.004, 1.0}).first);
 	}
 
-	void bad_day_of_all_is_not_held_against_the_version()
+	void fault_of_all_versions_does_not_count_against_the_target()
 	{
-		CPPUNIT_ASSERT(play_many("a third of all fails", {0.33, 1.0}, {0.33, 1.0}).first <= 0.025);
-		CPPUNIT_ASSERT_EQUAL(0.0, play_many("all three times slower", {0.0, 3.0}, {0.0, 3.0}).first);
+		CPPUNIT_ASSERT(simulate_many("a third of all fails", {0.33, 1.0}, {0.33, 1.0}).first <= 0.025);
+		CPPUNIT_ASSERT_EQUAL(0.0, simulate_many("all three times slower", {0.0, 3.0}, {0.0, 3.0}).first);
 	}
 
 	void failing_versions_are_found_within_fifty_bad_answers()
 	{
 		for (const double failing : {0.1, 0.2, 0.4})
 		{
-			const auto [found, most] = play_many("fails", {failing, 1.0}, {0.004, 1.0});
+			const auto [found, maximum] = simulate_many("fails", {failing, 1.0}, {0.004, 1.0});
 			CPPUNIT_ASSERT_EQUAL(1.0, found);
-			CPPUNIT_ASSERT(most.failed < 50.0);
+			CPPUNIT_ASSERT(maximum.failed < 50.0);
 		}
 	}
 
@@ -202,18 +205,18 @@
 	{
 		for (const double slower : {2.0, 4.0, 8.0})
 		{
-			CPPUNIT_ASSERT_EQUAL(1.0, play_many("slower", {0.0, slower}, {}).first);
+			CPPUNIT_ASSERT_EQUAL(1.0, simulate_many("slower", {0.0, slower}, {}).first);
 		}
 	}
 
 	void version_that_is_bad_on_one_route_or_later_is_found()
 	{
-		CPPUNIT_ASSERT_EQUAL(1.0, play_many("one route of five fails 0.4", {0.4, 1.0}, {}, true).first);
+		CPPUNIT_ASSERT_EQUAL(1.0, simulate_many("one route of five fails 0.4", {0.4, 1.0}, {}, true).first);
 		CPPUNIT_ASSERT_EQUAL(
-		    1.0, play_many("fails 0.4 after 150 requests", {0.4, 1.0}, {}, false, 150).first);
+		    1.0, simulate_many("fails 0.4 after 150 requests", {0.4, 1.0}, {}, false, 150).first);
 	}
 
-	/// The way that was not taken: two standard errors of the difference, looked at with each request.
+	/// The rejected alternative: two standard errors of the difference, evaluated at each request.
 	static bool differs(const version_counts& _target, const version_counts& _others)
 	{
 		if (_target.ended < 20 || _others.ended < 20)
@@ -228,8 +231,8 @@
 		return target - others > 2.0 * spread;
 	}
 
-	/// Good versions that fail 2 of 100 like the others: both ways on the same draws.
-	void bound_on_the_difference_takes_good_versions_for_bad_more_often()
+	/// Good versions that fail 2 of 100 requests like the others: both methods on the same draws.
+	void bound_on_the_difference_finds_good_versions_bad_more_often()
 	{
 		constexpr int k_good_versions = 200;
 		std::minstd_rand random(20261203);
@@ -262,7 +265,7 @@
 		CPPUNIT_ASSERT(by_bound > 20 * std::max(1, by_test));
 	}
 
-	void routes_beyond_those_told_count_together()
+	void routes_beyond_the_maximum_count_together()
 	{
 		rollout_evidence evidence;
 		for (int i = 0; i < 30; ++i)
@@ -278,11 +281,11 @@
 class rollout_plan_test : public CppUnit::TestFixture
 {
 	CPPUNIT_TEST_SUITE(rollout_plan_test);
-	CPPUNIT_TEST(order_is_noted_as_running_at_once);
-	CPPUNIT_TEST(bad_version_is_rolled_back_at_once_and_by_the_stand_in_a_second_later);
-	CPPUNIT_TEST(good_version_is_complete_in_time);
-	CPPUNIT_TEST(version_that_no_request_reached_is_rolled_back);
-	CPPUNIT_TEST(decided_roll_out_stays_decided);
+	CPPUNIT_TEST(order_is_written_as_running_at_once);
+	CPPUNIT_TEST(bad_version_is_rolled_back_at_once_and_by_the_backup_a_second_later);
+	CPPUNIT_TEST(good_version_completes_in_time);
+	CPPUNIT_TEST(version_without_requests_is_rolled_back);
+	CPPUNIT_TEST(decided_rollout_stays_decided);
 	CPPUNIT_TEST(status_of_an_earlier_order_does_not_count);
 	CPPUNIT_TEST_SUITE_END();
 
@@ -307,18 +310,18 @@
 		CPPUNIT_ASSERT(!plan_rollout(m_order, _view));
 	}
 
-	void order_is_noted_as_running_at_once()
+	void order_is_written_as_running_at_once()
 	{
 		expect_step(view_at(ms(0)), rollout_state::running);
 		expect_none(view_at(ms(0), decider_rank::stand_in));
 		expect_step(view_at(ms(1000), decider_rank::stand_in), rollout_state::running);
 		expect_none(view_at(ms(5000), decider_rank::none));
-		rollout_view noted = view_at(ms(5000));
-		noted.written = rollout_state::running;
-		expect_none(noted);
+		rollout_view written_view = view_at(ms(5000));
+		written_view.written = rollout_state::running;
+		expect_none(written_view);
 	}
 
-	void bad_version_is_rolled_back_at_once_and_by_the_stand_in_a_second_later()
+	void bad_version_is_rolled_back_at_once_and_by_the_backup_a_second_later()
 	{
 		for (const decider_rank rank : {decider_rank::first, decider_rank::stand_in})
 		{
@@ -334,14 +337,14 @@
 		}
 	}
 
-	void good_version_is_complete_in_time()
+	void good_version_completes_in_time()
 	{
 		expect_step(view_at(ms(7900)), rollout_state::running);
 		expect_step(view_at(ms(8000)), rollout_state::complete);
 		expect_step(view_at(ms(9000), decider_rank::stand_in), rollout_state::complete);
 	}
 
-	void version_that_no_request_reached_is_rolled_back()
+	void version_without_requests_is_rolled_back()
 	{
 		rollout_view view = view_at(ms(9400));
 		view.ended_at_target = 0;
@@ -350,7 +353,7 @@
 		expect_step(view, rollout_state::rolled_back);
 	}
 
-	void decided_roll_out_stays_decided()
+	void decided_rollout_stays_decided()
 	{
 		for (const rollout_state state : {rollout_state::complete, rollout_state::rolled_back})
 		{
