--- a/src/steering/state_copy.cpp
+++ b/src/steering/state_copy.cpp
@@ -9,40 +9,41 @@
 {
 namespace
 {
-/// Milliseconds in which a node that starts only listens. Longer: it is ready later when nobody knows the
-/// keys. Shorter: a seed of its region (round trip about a millisecond) can not answer. Not measured.
+/// Milliseconds for which a starting node only listens. Longer: the node is ready later when no node has the
+/// keys. Shorter: a seed of its region (round-trip time about a millisecond) cannot answer in time. Not
+/// measured.
 constexpr std::chrono::milliseconds k_listen_first{50};
-/// Milliseconds without a page after which a node reads the store, if its turn has come. Longer: it is ready
-/// later when those that have the keys are slow. Shorter: it reads the store beside. A page takes 30 ms over
-/// a link of 20 Mbit/s, and 100 ms from another region.
+/// Milliseconds without a page after which a node reads the store, when its turn has come. Longer: the node
+/// is ready later when the nodes with the keys are slow. Shorter: it reads the store in addition. A page
+/// takes 30 ms over a link of 20 Mbit/s, and 100 ms from another region.
 constexpr std::chrono::milliseconds k_page_patience{600};
-/// Milliseconds until the turn of the second node of a failure domain. The time until a further one's
-/// doubles, so that the copies that cross the border before the first node has one to give grow with the
-/// logarithm of the time that it takes (1 to 4 s for 10,000 backend servers). Longer: a dead first node holds
-/// the others up. Shorter: more of these copies. With turns of equal length 986 nodes made 167 readings of
-/// the store.
+/// Milliseconds until the turn of the second node of a failure domain. The delay doubles for each further
+/// node, so that the number of copies that enter the failure domain before its first node can serve one grows
+/// with the logarithm of the time that the first copy takes (1 to 4 s for 10,000 backend servers). Longer: a
+/// crashed first node delays the others. Shorter: more of these copies. With turns of equal length 986 nodes
+/// read the store 167 times.
 constexpr std::chrono::milliseconds k_turn{250};
-/// Nodes behind which all have their turn together, after four minutes: the state of a fleet that large takes
-/// less.
+/// Rank from which on all nodes have their turn together, after four minutes: even the state of a fleet of
+/// that size is copied faster.
 constexpr std::size_t k_last_turn = 10;
-/// Bytes a second that a node gives in pages: 0.4 of a link of 20 Mbit/s.
+/// Bytes per second of pages that a node sends: 0.4 of a link of 20 Mbit/s.
 constexpr double k_given_per_s = 1e6;
-/// Milliseconds for which pages may be ahead of that rate.
+/// Milliseconds by which pages may be ahead of that rate.
 constexpr std::chrono::milliseconds k_given_ahead{100};
 } // namespace
 
 copy_step plan_copy(const copy_view& _view)
 {
 	const std::chrono::milliseconds turn = k_turn * ((1 << std::min(_view.rank, k_last_turn)) - 1);
-	const bool is_turn = _view.passed >= turn;
-	const bool gets_none = _view.since_page >= k_page_patience + turn;
-	if (_view.anyone_knows && !gets_none)
+	const bool has_turn = _view.passed >= turn;
+	const bool no_page = _view.since_page >= k_page_patience + turn;
+	if (_view.anyone_knows && !no_page)
 	{
 		if (_view.domain_knows)
 		{
 			return copy_step::from_domain;
 		}
-		if (!is_turn)
+		if (!has_turn)
 		{
 			return copy_step::wait;
 		}
--- a/src/steering/store_pacing.cpp
+++ b/src/steering/store_pacing.cpp
@@ -9,21 +9,21 @@
 {
 namespace
 {
-/// Milliseconds of the first pause, at most. Longer: short trouble costs more news. Shorter: more calls. Not
-/// measured.
+/// Maximum of the first pause, in milliseconds. Longer: a short disturbance delays changes more. Shorter:
+/// more calls. Not measured.
 constexpr std::chrono::milliseconds k_pause_first{100};
-/// Milliseconds of the longest pause. Longer: the store's return is seen later, and entries that lapsed are
+/// Maximum pause, in milliseconds. Longer: the store's recovery is noticed later, and expired entries are
 /// kept longer. Shorter: more calls in an outage. Not measured.
 constexpr std::chrono::milliseconds k_pause_last{800};
-/// Doublings of the first pause, at most; beyond them the longest pause holds anyway.
+/// Maximum doublings of the first pause; beyond them the maximum pause applies anyway.
 constexpr int k_pause_doublings = 4;
 } // namespace
 
 std::chrono::milliseconds draw_backoff(int _tries, std::minstd_rand& _random)
 {
-	const auto longest = std::min(k_pause_last, k_pause_first * (1 << std::min(_tries, k_pause_doublings)));
+	const auto bound = std::min(k_pause_last, k_pause_first * (1 << std::min(_tries, k_pause_doublings)));
 	std::uniform_int_distribution<int> pause(
-	    static_cast<int>(longest.count()) / 2, static_cast<int>(longest.count()));
+	    static_cast<int>(bound.count()) / 2, static_cast<int>(bound.count()));
 	return std::chrono::milliseconds(pause(_random));
 }
 
--- a/src/steering/store_readers.cpp
+++ b/src/steering/store_readers.cpp
@@ -13,23 +13,25 @@
 {
 namespace
 {
-/// Nodes of a region that read the store. More: more calls, each of which has a price. Fewer: trouble of some
-/// leaves the others without news. Three in place of four, together with collected changes: prices 0.181 to
-/// 0.155 on a quiet day of 80 nodes (docs/DESIGN.md, "State"); two change nothing beyond the error.
+/// Number of nodes of a region that read the store. More: more calls, each of which has a price. Fewer: when
+/// some fail, the others get no changes. Three instead of four, together with collected changes: prices 0.181
+/// to 0.155 on a quiet day of 80 nodes (docs/DESIGN.md, "State"); two change nothing beyond the error.
 constexpr std::size_t k_region_readers = 3;
-/// Milliseconds that a node waits for datagrams before it asks another one. Longer: a lost datagram is made
-/// up for later. Shorter: nodes ask for what is on its way. Not measured.
+/// Milliseconds for which a node waits for datagrams before it asks another node. Longer: a lost datagram is
+/// replaced later. Shorter: nodes ask for changes that are already on their way. Not measured.
 constexpr std::chrono::milliseconds k_behind{60};
-/// Doublings of that wait while a newer configuration can not be had, or is refused here: 1 s at most for a
-/// node that does not read. More: it is had later. Fewer: more calls in vain. Not measured.
+/// Maximum doublings of that wait while a newer configuration is unavailable, or refused by this node: up to
+/// 1 s for a node that does not read the store. More: the configuration arrives later. Fewer: more calls in
+/// vain. Not measured.
 constexpr int k_behind_doublings = 4;
-/// The same for a node that reads the store itself: its own watch has the change soon, within the time for
-/// which changes are collected (k_batch_pause). Not measured.
+/// Wait of a node that reads the store itself, in milliseconds: its own watch delivers the change soon,
+/// within the time for which changes are collected (k_batch_pause). Not measured.
 constexpr std::chrono::milliseconds k_behind_reader{400};
-/// @returns The node that is asked: of the own failure domain if any knows more there, else of the region.
+/// @returns The node to ask among those that meet the condition: of this node's failure domain if possible,
+/// else of its region, else any.
 template <typename Condition>
-const node_heartbeat* first_drawn(const node_heartbeat& _self,
-    const std::vector<const node_heartbeat*>& _live, const Condition& _knows_more)
+const node_heartbeat* choose_node(
+    const node_heartbeat& _self, const std::vector<const node_heartbeat*>& _live, const Condition& _condition)
 {
 	const std::uint64_t draw = rendezvous_weight(_self.node.text, _self.sequence);
 	const auto order = [&](const node_heartbeat& _node)
@@ -37,15 +39,15 @@
 		return std::make_tuple(_node.region == _self.region, _node.domain == _self.domain,
 		    rendezvous_weight(_node.node.text, draw));
 	};
-	const node_heartbeat* best = nullptr;
+	const node_heartbeat* chosen = nullptr;
 	for (const node_heartbeat* node : _live)
 	{
-		if (_knows_more(*node) && (nullptr == best || order(*node) > order(*best)))
+		if (_condition(*node) && (nullptr == chosen || order(*node) > order(*chosen)))
 		{
-			best = node;
+			chosen = node;
 		}
 	}
-	return best;
+	return chosen;
 }
 } // namespace
 
@@ -55,12 +57,12 @@
 	{
 		return std::make_pair(_node.store_reached, rendezvous_weight(_node.node.text, 0));
 	};
-	const auto own = order(_self);
+	const auto own_order = order(_self);
 	std::size_t rank = 0;
 	for (const node_heartbeat* node : _live)
 	{
 		const bool may_read = node->region == _self.region && node_state::stopping != node->state;
-		rank += may_read && order(*node) > own ? 1 : 0;
+		rank += may_read && order(*node) > own_order ? 1 : 0;
 	}
 	const bool reads = rank < k_region_readers;
 	return {reads, reads ? reader_reason::ranks_first : reader_reason::others_read, rank};
@@ -84,7 +86,7 @@
 const node_heartbeat* choose_peer(const node_heartbeat& _self, std::int64_t _store_revision,
     const std::vector<const node_heartbeat*>& _live)
 {
-	return first_drawn(_self, _live,
+	return choose_node(_self, _live,
 	    [_store_revision](const node_heartbeat& _node)
 	    {
 		    return _node.store_revision > _store_revision;
@@ -94,7 +96,7 @@
 const node_heartbeat* choose_peer_for_routes(const node_heartbeat& _self, std::uint64_t _config_version,
     const std::vector<const node_heartbeat*>& _live)
 {
-	return first_drawn(_self, _live,
+	return choose_node(_self, _live,
 	    [_config_version](const node_heartbeat& _node)
 	    {
 		    return _node.config_version > _config_version;
--- a/src/steering/store_start.cpp
+++ b/src/steering/store_start.cpp
@@ -9,8 +9,8 @@
 {
 namespace
 {
-/// Nodes of a failure domain that register. More: calls. Fewer: a failure domain is not found while one of
-/// them is being replaced. Not measured.
+/// Number of nodes of a failure domain that register. More: more calls. Fewer: a failure domain is not found
+/// while one of these nodes is being replaced. Not measured.
 constexpr std::size_t k_registered_of_domain = 2;
 } // namespace
 
--- a/tests/steering_state_copy_test.cpp
+++ b/tests/steering_state_copy_test.cpp
@@ -2,8 +2,8 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// How nodes come by a copy of the store's keys: the rule, and whole fleets that start at once on a virtual
-/// clock, with links of 20 Mbit/s and a store in one region.
+/// Tests of the state copy: the decision itself, and simulated fleets that start at once on a virtual clock,
+/// with links of 20 Mbit/s and a store in one region.
 
 #include "fixtures.h"
 
@@ -19,27 +19,28 @@
 {
 using ms = std::chrono::milliseconds;
 
-constexpr ms k_model_step{10};               ///< Of the virtual clock.
-constexpr double k_link_bytes_per_s = 2.5e6; ///< 20 Mbit/s.
-constexpr std::size_t k_packed_page = 40000; ///< Bytes of a page as sent.
-constexpr ms k_far{70};                      ///< Round trip to another region.
-constexpr ms k_heard{300};                   ///< Until all nodes of a failure domain know who has the keys.
-constexpr ms k_heard_far{1300};              ///< Until the others do.
+constexpr ms k_model_step{10};                         ///< Step of the virtual clock.
+constexpr double k_link_bytes_per_s = 2.5e6;           ///< 20 Mbit/s.
+constexpr std::size_t k_compressed_page_bytes = 40000; ///< Bytes of a page as sent.
+constexpr ms k_far_round_trip{70};                     ///< Round trip to another region.
+/// Time until all nodes of a failure domain know which nodes have the keys.
+constexpr ms k_domain_heartbeat_delay{300};
+constexpr ms k_far_heartbeat_delay{1300}; ///< Time until all other nodes know.
 
-/// What a common start came to.
+/// Result of a common start.
 struct start_result
 {
-	double last_s = 0.0; ///< Until the last node has a copy.
-	int readings = 0;    ///< Of the store.
+	double last_s = 0.0; ///< Time until the last node has a copy.
+	int store_reads = 0; ///< Number of nodes that read the store.
 	int far_pages = 0;   ///< Pages that crossed a failure domain.
 	int pages = 0;
 };
 
-/// A fleet in nine failure domains of three regions; the store stands in the first one.
+/// Simulates a fleet in nine failure domains of three regions; the store is in the first region.
 class copy_model
 {
 public:
-	/// @param[in] _servers Backend servers; a page has 850 of them.
+	/// @param[in] _servers Number of backend servers; a page holds 850 of them.
 	copy_model(int _nodes, int _servers)
 	    : m_pages(std::max(1, _servers / 850)), m_calls(std::max(1, _servers / 200))
 	{
@@ -55,15 +56,15 @@
 	start_result run()
 	{
 		start_result result;
-		std::size_t have = 0;
-		while (have < m_nodes.size())
+		std::size_t complete = 0;
+		while (complete < m_nodes.size())
 		{
 			m_now += k_model_step;
-			have = 0;
-			for (node& one : m_nodes)
+			complete = 0;
+			for (node& entry : m_nodes)
 			{
-				step(one, result);
-				have += one.known_at ? 1 : 0;
+				step(entry, result);
+				complete += entry.complete_at ? 1 : 0;
 			}
 			CPPUNIT_ASSERT(m_now - m_begin < std::chrono::seconds(300));
 		}
@@ -77,18 +78,19 @@
 		int domain = 0;
 		std::uint64_t weight = 0;
 		int pages = 0;
-		std::optional<steady_time> known_at; ///< When it had all pages.
-		steady_time busy_until{};            ///< Until its question is answered.
-		bool gets_page = false;
-		bool reads = false;
+		std::optional<steady_time> complete_at; ///< Time at which the node had all pages.
+		steady_time waits_until{};              ///< Time at which its request is answered.
+		bool awaits_page = false;
+		bool reads_store = false;
 		steady_time last_page{};
-		page_limit given;
+		page_limit page_rate;
 	};
 
-	bool is_known(const node& _giver, const node& _asker) const
+	bool is_known_source(const node& _sender, const node& _receiver) const
 	{
-		const ms heard = _giver.domain == _asker.domain ? k_heard : k_heard_far;
-		return _giver.known_at && m_now - *_giver.known_at >= heard;
+		const ms delay =
+		    _sender.domain == _receiver.domain ? k_domain_heartbeat_delay : k_far_heartbeat_delay;
+		return _sender.complete_at && m_now - *_sender.complete_at >= delay;
 	}
 
 	static bool same_region(const node& _left, const node& _right)
@@ -103,7 +105,7 @@
 		view.since_page = m_now - _node.last_page;
 		for (const node& other : m_nodes)
 		{
-			if (is_known(other, _node))
+			if (is_known_source(other, _node))
 			{
 				view.anyone_knows = true;
 				view.domain_knows = view.domain_knows || other.domain == _node.domain;
@@ -117,25 +119,25 @@
 		return view;
 	}
 
-	void end_question(node& _node)
+	void finish_step(node& _node)
 	{
-		_node.last_page = _node.gets_page ? m_now : _node.last_page;
-		_node.pages += _node.gets_page ? 1 : 0;
-		_node.gets_page = false;
-		if (_node.reads || _node.pages >= m_pages)
+		_node.last_page = _node.awaits_page ? m_now : _node.last_page;
+		_node.pages += _node.awaits_page ? 1 : 0;
+		_node.awaits_page = false;
+		if (_node.reads_store || _node.pages >= m_pages)
 		{
-			_node.known_at = m_now;
+			_node.complete_at = m_now;
 		}
 	}
 
 	void step(node& _node, start_result& _result)
 	{
-		if (_node.known_at || m_now < _node.busy_until)
+		if (_node.complete_at || m_now < _node.waits_until)
 		{
 			return;
 		}
-		end_question(_node);
-		if (_node.known_at)
+		finish_step(_node);
+		if (_node.complete_at)
 		{
 			return;
 		}
@@ -148,10 +150,10 @@
 		}
 		if (copy_step::from_store == next)
 		{
-			++_result.readings;
-			_node.reads = true;
-			const ms call = ms(4) + (0 == _node.domain % 3 ? ms(1) : k_far);
-			_node.busy_until = m_now + m_calls * call;
+			++_result.store_reads;
+			_node.reads_store = true;
+			const ms call = ms(4) + (0 == _node.domain % 3 ? ms(1) : k_far_round_trip);
+			_node.waits_until = m_now + m_calls * call;
 			return;
 		}
 		ask(_node, next, _result);
@@ -159,30 +161,30 @@
 
 	void ask(node& _node, copy_step _step, start_result& _result)
 	{
-		std::vector<node*> givers;
+		std::vector<node*> senders;
 		for (node& other : m_nodes)
 		{
 			const bool wanted = copy_step::from_anyone == _step ||
 			                    (copy_step::from_region == _step && same_region(other, _node)) ||
 			                    (copy_step::from_domain == _step && other.domain == _node.domain);
-			if (wanted && is_known(other, _node))
+			if (wanted && is_known_source(other, _node))
 			{
-				givers.push_back(&other);
+				senders.push_back(&other);
 			}
 		}
-		node& giver = *givers[rendezvous_weight("draw", ++m_draws) % givers.size()];
-		_node.busy_until = m_now + k_copy_pause;
-		if (!giver.given.may_give(m_now))
+		node& sender = *senders[rendezvous_weight("draw", ++m_draws) % senders.size()];
+		_node.waits_until = m_now + k_copy_pause;
+		if (!sender.page_rate.may_give(m_now))
 		{
-			_node.last_page = m_now; // It is busy giving to others.
+			_node.last_page = m_now; // The sender is busy sending pages to others.
 			return;
 		}
-		giver.given.on_given(k_packed_page, m_now);
-		const ms sending(static_cast<int>(1000.0 * k_packed_page / k_link_bytes_per_s));
-		_node.busy_until = m_now + sending + (same_region(giver, _node) ? ms(1) : k_far);
-		_node.gets_page = true;
+		sender.page_rate.on_given(k_compressed_page_bytes, m_now);
+		const ms sending(static_cast<int>(1000.0 * k_compressed_page_bytes / k_link_bytes_per_s));
+		_node.waits_until = m_now + sending + (same_region(sender, _node) ? ms(1) : k_far_round_trip);
+		_node.awaits_page = true;
 		++_result.pages;
-		_result.far_pages += giver.domain == _node.domain ? 0 : 1;
+		_result.far_pages += sender.domain == _node.domain ? 0 : 1;
 	}
 
 	int m_pages;
@@ -197,12 +199,12 @@
 class state_copy_test : public CppUnit::TestFixture
 {
 	CPPUNIT_TEST_SUITE(state_copy_test);
-	CPPUNIT_TEST(keys_known_by_nobody_are_read_after_listening);
-	CPPUNIT_TEST(keys_known_in_the_failure_domain_are_asked_for_at_once);
-	CPPUNIT_TEST(keys_known_further_away_are_asked_for_by_turns);
-	CPPUNIT_TEST(keys_that_no_page_comes_of_are_read);
-	CPPUNIT_TEST(pages_are_given_at_a_steady_rate);
-	CPPUNIT_TEST(common_start_takes_few_readings_whatever_the_size);
+	CPPUNIT_TEST(keys_without_a_source_are_read_from_the_store_after_listening);
+	CPPUNIT_TEST(keys_in_the_failure_domain_are_requested_at_once);
+	CPPUNIT_TEST(keys_further_away_are_requested_in_turns);
+	CPPUNIT_TEST(keys_without_a_page_in_time_are_read_from_the_store);
+	CPPUNIT_TEST(pages_are_sent_at_a_steady_rate);
+	CPPUNIT_TEST(common_start_takes_few_store_reads_at_any_size);
 	CPPUNIT_TEST_SUITE_END();
 
 protected:
@@ -215,7 +217,7 @@
 		return view;
 	}
 
-	void keys_known_by_nobody_are_read_after_listening()
+	void keys_without_a_source_are_read_from_the_store_after_listening()
 	{
 		CPPUNIT_ASSERT(copy_step::wait == plan_copy(view_at(ms(49))));
 		CPPUNIT_ASSERT(copy_step::from_store == plan_copy(view_at(ms(50))));
@@ -223,14 +225,14 @@
 		CPPUNIT_ASSERT(copy_step::from_store == plan_copy(view_at(ms(300), 1)));
 	}
 
-	void keys_known_in_the_failure_domain_are_asked_for_at_once()
+	void keys_in_the_failure_domain_are_requested_at_once()
 	{
 		copy_view view = view_at(ms(10), 50);
 		view.anyone_knows = view.region_knows = view.domain_knows = true;
 		CPPUNIT_ASSERT(copy_step::from_domain == plan_copy(view));
 	}
 
-	void keys_known_further_away_are_asked_for_by_turns()
+	void keys_further_away_are_requested_in_turns()
 	{
 		copy_view view = view_at(ms(10));
 		view.anyone_knows = true;
@@ -245,19 +247,19 @@
 		CPPUNIT_ASSERT(copy_step::from_region == plan_copy(view));
 	}
 
-	void keys_that_no_page_comes_of_are_read()
+	void keys_without_a_page_in_time_are_read_from_the_store()
 	{
 		copy_view view = view_at(ms(599));
 		view.anyone_knows = view.domain_knows = true;
 		CPPUNIT_ASSERT(copy_step::from_domain == plan_copy(view));
 		view.passed = view.since_page = ms(600);
 		CPPUNIT_ASSERT(copy_step::from_store == plan_copy(view));
-		view.since_page = ms(100); // Pages come: a large state takes its time.
+		view.since_page = ms(100); // Pages arrive: a large state takes long.
 		view.passed = ms(60000);
 		CPPUNIT_ASSERT(copy_step::from_domain == plan_copy(view));
 	}
 
-	void pages_are_given_at_a_steady_rate()
+	void pages_are_sent_at_a_steady_rate()
 	{
 		page_limit limit;
 		const steady_time begin{std::chrono::seconds(100)};
@@ -270,34 +272,35 @@
 				bytes += 40000;
 			}
 		}
-		CPPUNIT_ASSERT(bytes >= 9'900'000 && bytes <= 10'200'000); // 1 MB a second.
+		CPPUNIT_ASSERT(bytes >= 9'900'000 && bytes <= 10'200'000); // 1 MB per second.
 	}
 
-	void common_start_takes_few_readings_whatever_the_size()
+	void common_start_takes_few_store_reads_at_any_size()
 	{
 		struct size
 		{
 			int nodes;
 			int servers;
-			double most_s;
+			double max_s;
 		};
-		// 2,000 nodes and more are played by hand: LARKRACK_FIGURES=1.
+		// 2,000 nodes are simulated only on demand, with LARKRACK_FIGURES=1.
 		std::vector<size> sizes{{9, 36, 0.7}, {295, 1356, 6.0}, {986, 10002, 12.0}};
 		if (nullptr != std::getenv("LARKRACK_FIGURES"))
 		{
 			sizes.push_back({2000, 20000, 24.0});
 		}
-		for (const size& one : sizes)
+		for (const size& entry : sizes)
 		{
-			const start_result result = copy_model(one.nodes, one.servers).run();
+			const start_result result = copy_model(entry.nodes, entry.servers).run();
 			if (nullptr != std::getenv("LARKRACK_FIGURES"))
 			{
-				std::cout << one.nodes << " nodes, " << one.servers << " backend servers: last copy after "
-				          << result.last_s << " s, readings of the store " << result.readings << ", pages "
-				          << result.pages << ", across failure domains " << result.far_pages << std::endl;
+				std::cout << entry.nodes << " nodes, " << entry.servers
+				          << " backend servers: last copy after " << result.last_s
+				          << " s, readings of the store " << result.store_reads << ", pages " << result.pages
+				          << ", across failure domains " << result.far_pages << std::endl;
 			}
-			CPPUNIT_ASSERT(result.last_s <= one.most_s);
-			CPPUNIT_ASSERT(result.readings <= 9 * 6); // Not with the nodes.
+			CPPUNIT_ASSERT(result.last_s <= entry.max_s);
+			CPPUNIT_ASSERT(result.store_reads <= 9 * 6); // Does not grow with the number of nodes.
 		}
 	}
 };
--- a/tests/steering_stop_and_pacing_test.cpp
+++ b/tests/steering_stop_and_pacing_test.cpp
@@ -1,6 +1,9 @@
 // Copyright 2026 the larkrack developers. All rights reserved.
 // License: BSD 2-Clause, see LICENSE.
 
+/// @file
+/// Tests of the steps of a graceful shutdown, and of backoff and registration at the store.
+
 #include "fixtures.h"
 
 #include "steering/planned_stop_p.h"
@@ -11,12 +14,12 @@
 class planned_stop_test : public CppUnit::TestFixture
 {
 	CPPUNIT_TEST_SUITE(planned_stop_test);
-	CPPUNIT_TEST(begin_serves_on);
+	CPPUNIT_TEST(stop_at_its_start_changes_nothing);
 	CPPUNIT_TEST(idle_connections_are_closed_after_a_second_and_a_half);
 	CPPUNIT_TEST(new_requests_are_refused_from_45_percent_of_the_grace_on);
-	CPPUNIT_TEST(quiet_node_ends_not_before_its_earliest_time);
+	CPPUNIT_TEST(node_without_requests_ends_not_before_the_minimum_time);
 	CPPUNIT_TEST(node_with_an_open_request_ends_just_before_the_kill);
-	CPPUNIT_TEST(node_that_still_gets_requests_goes_on);
+	CPPUNIT_TEST(node_with_recent_requests_keeps_running);
 	CPPUNIT_TEST_SUITE_END();
 
 protected:
@@ -26,7 +29,7 @@
 		    std::chrono::milliseconds(_since_request_ms)});
 	}
 
-	void begin_serves_on()
+	void stop_at_its_start_changes_nothing()
 	{
 		const stop_decision decision = plan(0, 0, 0);
 		CPPUNIT_ASSERT(!decision.close_idle && !decision.refuse_new && !decision.end);
@@ -45,7 +48,7 @@
 		CPPUNIT_ASSERT(plan(4500, 1, 0).refuse_new);
 	}
 
-	void quiet_node_ends_not_before_its_earliest_time()
+	void node_without_requests_ends_not_before_the_minimum_time()
 	{
 		CPPUNIT_ASSERT(!plan(2499, 0, 2499).end);
 		CPPUNIT_ASSERT(plan(2500, 0, 500).end);
@@ -59,7 +62,7 @@
 		CPPUNIT_ASSERT(stop_reason::grace_spent == plan(9500, 1, 9000).reason);
 	}
 
-	void node_that_still_gets_requests_goes_on()
+	void node_with_recent_requests_keeps_running()
 	{
 		CPPUNIT_ASSERT(!plan(4000, 0, 499).end);
 	}
@@ -69,39 +72,39 @@
 {
 	CPPUNIT_TEST_SUITE(store_pacing_test);
 	CPPUNIT_TEST(backoff_doubles_up_to_its_bound_and_has_jitter);
-	CPPUNIT_TEST(registration_lapsed_only_by_an_answer_of_the_store);
-	CPPUNIT_TEST(registration_is_renewed_three_times_in_its_life);
+	CPPUNIT_TEST(registration_expires_only_by_an_answer_of_the_store);
+	CPPUNIT_TEST(registration_is_renewed_three_times_in_its_time_to_live);
 	CPPUNIT_TEST_SUITE_END();
 
 protected:
 	void backoff_doubles_up_to_its_bound_and_has_jitter()
 	{
 		std::minstd_rand random(1);
-		const int longest[] = {100, 200, 400, 800, 800, 800, 800};
+		const int bounds_ms[] = {100, 200, 400, 800, 800, 800, 800};
 		for (int tries = 0; tries < 7; ++tries)
 		{
-			auto least = std::chrono::milliseconds::max();
-			auto most = std::chrono::milliseconds::min();
+			auto shortest = std::chrono::milliseconds::max();
+			auto longest = std::chrono::milliseconds::min();
 			for (int i = 0; i < 1000; ++i)
 			{
 				const std::chrono::milliseconds pause = draw_backoff(tries, random);
-				least = std::min(least, pause);
-				most = std::max(most, pause);
+				shortest = std::min(shortest, pause);
+				longest = std::max(longest, pause);
 			}
-			CPPUNIT_ASSERT(least >= std::chrono::milliseconds(longest[tries] / 2));
-			CPPUNIT_ASSERT(most <= std::chrono::milliseconds(longest[tries]));
-			CPPUNIT_ASSERT(most - least > std::chrono::milliseconds(longest[tries] / 4));
+			CPPUNIT_ASSERT(shortest >= std::chrono::milliseconds(bounds_ms[tries] / 2));
+			CPPUNIT_ASSERT(longest <= std::chrono::milliseconds(bounds_ms[tries]));
+			CPPUNIT_ASSERT(longest - shortest > std::chrono::milliseconds(bounds_ms[tries] / 4));
 		}
 	}
 
-	void registration_lapsed_only_by_an_answer_of_the_store()
+	void registration_expires_only_by_an_answer_of_the_store()
 	{
 		CPPUNIT_ASSERT(registration_lapsed(true, std::chrono::seconds(0)));
 		CPPUNIT_ASSERT(!registration_lapsed(true, std::chrono::seconds(30)));
 		CPPUNIT_ASSERT(!registration_lapsed(false, std::chrono::seconds(0)));
 	}
 
-	void registration_is_renewed_three_times_in_its_life()
+	void registration_is_renewed_three_times_in_its_time_to_live()
 	{
 		CPPUNIT_ASSERT(3 * k_registration_renewal <= k_registration_ttl);
 	}
--- a/tests/steering_store_start_test.cpp
+++ b/tests/steering_store_start_test.cpp
@@ -1,6 +1,9 @@
 // Copyright 2026 the larkrack developers. All rights reserved.
 // License: BSD 2-Clause, see LICENSE.
 
+/// @file
+/// Tests of which nodes register in the store.
+
 #include "fixtures.h"
 
 #include "steering/store_start_p.h"
@@ -10,9 +13,9 @@
 class store_start_test : public CppUnit::TestFixture
 {
 	CPPUNIT_TEST_SUITE(store_start_test);
-	CPPUNIT_TEST(registered_nodes_of_295_are_two_of_each_failure_domain);
+	CPPUNIT_TEST(registered_nodes_of_295_are_two_per_failure_domain);
 	CPPUNIT_TEST(registered_node_that_stops_is_replaced);
-	CPPUNIT_TEST(registered_node_that_knows_nobody_registers);
+	CPPUNIT_TEST(node_without_known_nodes_registers);
 	CPPUNIT_TEST_SUITE_END();
 
 protected:
@@ -46,7 +49,7 @@
 		return registered;
 	}
 
-	void registered_nodes_of_295_are_two_of_each_failure_domain()
+	void registered_nodes_of_295_are_two_per_failure_domain()
 	{
 		const std::map<domain_name, int> registered = registered_by_domain(fleet_of(295, 9));
 		CPPUNIT_ASSERT_EQUAL(std::size_t(9), registered.size());
@@ -62,13 +65,13 @@
 		for (node_heartbeat& node : nodes)
 		{
 			node.state = node_state::stopping;
-			// The stopping one may keep its own registration, beside two others.
+			// The stopping node may keep its own registration, in addition to two others.
 			CPPUNIT_ASSERT(registered_by_domain(nodes).begin()->second >= 2);
 			node.state = node_state::ready;
 		}
 	}
 
-	void registered_node_that_knows_nobody_registers()
+	void node_without_known_nodes_registers()
 	{
 		CPPUNIT_ASSERT(registers(fleet_of(1, 1).front(), {}));
 	}
