--- a/src/steering/region_shares_p.h
+++ b/src/steering/region_shares_p.h
@@ -68,6 +68,7 @@
 	double back = 0.0; ///< Back to the home region.
 };
 /// @param[in] _max_shift Fraction of the requests that may change their region in a window.
+/// @returns Rates at which shares may move.
 share_pace pace_for(double _max_shift, std::chrono::milliseconds _window);
 
 /// Shares in force, and the choice of regions by them.
--- a/src/steering/request_times_p.h
+++ b/src/steering/request_times_p.h
@@ -41,8 +41,8 @@
 /// refused for good. Longer: freed slots stay unused; 0.1 to 0.3 costs 0.003 to 0.007 of worth, measured
 /// together with the shorter wait of slot_queue_p.h (docs/DECISIONS.md).
 constexpr double k_retry_after_first_s = 0.3;
-/// Maximum retry time of a refused caller, in seconds. Each caller gets a random time between the two, so
-/// that callers do not return together.
+/// Maximum retry time of a refused caller, in seconds. Each caller gets a random time between the minimum
+/// and this maximum, so that callers do not return together.
 constexpr double k_retry_after_last_s = 0.8;
 
 /// Time within which a backend server that rejects a request has answered: a round trip to another region and
--- a/src/steering/retry_budget_p.h
+++ b/src/steering/retry_budget_p.h
@@ -66,6 +66,7 @@
 		int first_attempts = 0;
 		int retries = 0;
 	};
+	/// @returns The current interval; removes those before the window.
 	interval& current(steady_time _now);
 
 	double m_ratio;
--- a/src/steering/rollout_evidence_p.h
+++ b/src/steering/rollout_evidence_p.h
@@ -35,7 +35,9 @@
 	std::array<std::uint32_t, k_time_classes> times{};
 
 	void add(const version_counts& _other);
+	/// Counts the time of an answer.
 	void count_time(std::chrono::milliseconds _time);
+	/// @returns Number of answers with a time.
 	std::uint32_t timed() const;
 	/// @param[in] _part Fraction of the answers that are faster, 0 to 1.
 	/// @returns Class of that quantile of the answer times.
--- a/src/steering/routing_table_p.h
+++ b/src/steering/routing_table_p.h
@@ -67,11 +67,11 @@
 	std::chrono::milliseconds warmup_time{0}; ///< How long a backend server stays cold after it turns cold.
 };
 
-/// Limits on the size of a caller's requests, and on their time.
+/// Limits on the size of a caller's requests, and on their time. The default values apply to limits that a
+/// configuration leaves out.
 struct caller_limits
 {
-	std::uint32_t header_bytes =
-	    16U * 1024U; ///< Default values here apply to limits that a configuration leaves out.
+	std::uint32_t header_bytes = 16U * 1024U;
 	std::uint64_t body_bytes = 8ULL * 1024 * 1024;
 	std::chrono::milliseconds header_timeout{10000};
 	std::chrono::milliseconds idle_timeout{15000};
--- a/src/steering/shared_budgets_p.h
+++ b/src/steering/shared_budgets_p.h
@@ -31,7 +31,7 @@
 /// Number of nodes that share a budget.
 struct sharing
 {
-	double nodes = 1.0; ///< Number of nodes in total.
+	double nodes = 1.0; ///< Number of nodes, in all regions.
 };
 
 /// Maximum number of nodes ever seen at once, including this one.
@@ -45,6 +45,7 @@
 	{
 		return {static_cast<double>(m_max_nodes)};
 	}
+	/// @returns Maximum number of nodes of this region ever seen at once.
 	std::size_t most_in_region() const
 	{
 		return m_max_in_region;
