--- a/src/entry_node/token_exchange.cpp
+++ b/src/entry_node/token_exchange.cpp
@@ -9,21 +9,21 @@
 {
 namespace
 {
-/// Milliseconds between two looks at requests that wait. Shorter: more wake-ups. Not measured.
-constexpr std::chrono::milliseconds k_wake_interval{25};
-/// Seconds between two looks for accounts that nobody uses.
-constexpr std::chrono::seconds k_forget_interval{1};
+/// Interval between two checks of waiting requests, milliseconds. Shorter: more wake-ups.
+constexpr std::chrono::milliseconds k_poll_interval{25};
+/// Interval between two removals of idle accounts, seconds.
+constexpr std::chrono::seconds k_cleanup_interval{1};
 
-quota_lenders hashes_of(const quota_holders& _holders)
+quota_lenders lender_hashes(const quota_holders& _holders)
 {
 	return {_holders.first.name_hash, _holders.stand_in.name_hash};
 }
 } // namespace
 
 token_exchange::token_exchange(asio::io_context& _context, const clock_base& _clock, quota_bounds _bounds,
-    std::chrono::milliseconds _longest_ask, const fleet_view_base& _fleet, const node_name& _self,
+    std::chrono::milliseconds _max_wait, const fleet_view_base& _fleet, const node_name& _self,
     token_owner_base& _owner)
-    : m_clock(_clock), m_longest_ask(_longest_ask), m_fleet(_fleet), m_owner(_owner),
+    : m_clock(_clock), m_max_wait(_max_wait), m_fleet(_fleet), m_owner(_owner),
       m_borrower(_bounds, rendezvous_weight(_self.text, 0), _clock.steady()),
       m_lender(_bounds, _clock.steady()), m_timer(_context)
 {
@@ -34,16 +34,16 @@
 	const quota_answer answer = m_borrower.take(_subject, m_fleet.sharers().nodes, m_clock.steady());
 	if (quota_answer::waits != answer)
 	{
-		ask(_subject);
+		request_tokens(_subject);
 	}
 	return answer;
 }
 
 void token_exchange::wait(const quota_subject& _subject, handler _decided)
 {
-	m_waiting[_subject.id].push_back({std::move(_decided), m_clock.steady() + m_longest_ask});
-	ask(_subject);
-	wake_later();
+	m_waiting[_subject.id].push_back({std::move(_decided), m_clock.steady() + m_max_wait});
+	request_tokens(_subject);
+	schedule_wake();
 }
 
 void token_exchange::give_back(const quota_subject& _subject)
@@ -51,16 +51,16 @@
 	m_borrower.give_back(_subject, m_clock.steady());
 }
 
-void token_exchange::ask(const quota_subject& _subject)
+void token_exchange::request_tokens(const quota_subject& _subject)
 {
 	const quota_holders holders = m_owner.holders_of(_subject.id);
 	if (0 == holders.first.name_hash)
 	{
-		return; // Nobody lends; the wait ends with what there is without a lender.
+		return; // No node lends: the wait ends with the answer that holds without a lender.
 	}
 	const auto waiting = m_waiting.find(_subject.id);
 	const std::size_t count = m_waiting.end() == waiting ? 0 : waiting->second.size();
-	const auto request = m_borrower.due(_subject, hashes_of(holders), count, m_clock.steady());
+	const auto request = m_borrower.due(_subject, lender_hashes(holders), count, m_clock.steady());
 	if (!request)
 	{
 		return;
@@ -84,29 +84,29 @@
 		return;
 	}
 	const steady_time now = m_clock.steady();
-	const quota_lenders lenders = hashes_of(m_owner.holders_of(_subject.id));
+	const quota_lenders lenders = lender_hashes(m_owner.holders_of(_subject.id));
 	std::vector<std::pair<handler, quota_answer>> decided;
 	waiting_list& waiting = it->second;
-	for (auto one = waiting.begin(); one != waiting.end();)
+	for (auto request = waiting.begin(); request != waiting.end();)
 	{
 		quota_answer answer = m_borrower.take_again(_subject, lenders, now);
-		if (quota_answer::waits == answer && now >= one->until)
+		if (quota_answer::waits == answer && now >= request->until)
 		{
 			answer = m_borrower.is_silent(lenders.first, now) ? quota_answer::unknown : quota_answer::over;
 		}
 		if (quota_answer::waits == answer)
 		{
-			++one;
+			++request;
 			continue;
 		}
-		decided.emplace_back(std::move(one->decided), answer);
-		one = waiting.erase(one);
+		decided.emplace_back(std::move(request->decided), answer);
+		request = waiting.erase(request);
 	}
 	if (waiting.empty())
 	{
 		m_waiting.erase(it);
 	}
-	// Last, since they may come back here.
+	// The handlers run last, since they may call this function again.
 	for (const auto& [handler, answer] : decided)
 	{
 		if (quota_answer::over == answer)
@@ -117,14 +117,14 @@
 	}
 }
 
-void token_exchange::wake_later()
+void token_exchange::schedule_wake()
 {
-	if (m_wakes || m_waiting.empty())
+	if (m_wake_scheduled || m_waiting.empty())
 	{
 		return;
 	}
-	m_wakes = true;
-	m_timer.expires_after(k_wake_interval);
+	m_wake_scheduled = true;
+	m_timer.expires_after(k_poll_interval);
 	m_timer.async_wait(
 	    [this](boost::system::error_code _error)
 	    {
@@ -137,7 +137,7 @@
 
 void token_exchange::wake()
 {
-	m_wakes = false;
+	m_wake_scheduled = false;
 	std::vector<std::uint64_t> ids;
 	for (const auto& [id, waiting] : m_waiting)
 	{
@@ -145,24 +145,24 @@
 	}
 	for (const std::uint64_t id : ids)
 	{
-		if (const std::optional<quota_subject> one = m_owner.find_subject(id))
+		if (const std::optional<quota_subject> subject = m_owner.find_subject(id))
 		{
-			ask(*one);
-			decide_waiting(*one);
+			request_tokens(*subject);
+			decide_waiting(*subject);
 			continue;
 		}
-		refuse_unknown(id);
+		fail_unknown(id);
 	}
-	wake_later();
+	schedule_wake();
 }
 
-void token_exchange::refuse_unknown(std::uint64_t _id)
+void token_exchange::fail_unknown(std::uint64_t _id)
 {
 	const waiting_list waiting = std::move(m_waiting[_id]);
 	m_waiting.erase(_id);
-	for (const waiting_request& one : waiting)
+	for (const waiting_request& request : waiting)
 	{
-		one.decided(quota_answer::unknown);
+		request.decided(quota_answer::unknown);
 	}
 }
 
@@ -170,20 +170,20 @@
 {
 	if (const auto* request = std::get_if<quota_request>(&_message))
 	{
-		lend(*request, _sender_ip);
+		handle_request(*request, _sender_ip);
 		return;
 	}
-	take_grant(std::get<quota_grant>(_message), _sender_ip);
+	handle_grant(std::get<quota_grant>(_message), _sender_ip);
 }
 
-void token_exchange::take_grant(const quota_grant& _grant, const std::string& _sender_ip)
+void token_exchange::handle_grant(const quota_grant& _grant, const std::string& _sender_ip)
 {
-	const std::optional<quota_subject> one = m_owner.find_subject(_grant.customer);
-	if (!one)
+	const std::optional<quota_subject> subject = m_owner.find_subject(_grant.customer);
+	if (!subject)
 	{
 		return;
 	}
-	const quota_holders holders = m_owner.holders_of(one->id);
+	const quota_holders holders = m_owner.holders_of(subject->id);
 	const bool from_first = _sender_ip == holders.first.ip;
 	const bool from_stand_in = !from_first && _sender_ip == holders.stand_in.ip;
 	if (from_stand_in && sends_back(_grant))
@@ -197,20 +197,20 @@
 		                                             : 0;
 		m_borrower.on_grant(_grant, lender, m_clock.steady());
 	}
-	decide_waiting(*one);
-	ask(*one);
+	decide_waiting(*subject);
+	request_tokens(*subject);
 }
 
-void token_exchange::lend(const quota_request& _request, const std::string& _sender_ip)
+void token_exchange::handle_request(const quota_request& _request, const std::string& _sender_ip)
 {
-	const std::optional<quota_subject> asked = m_owner.find_subject(_request.customer);
-	if (!asked)
+	const std::optional<quota_subject> subject = m_owner.find_subject(_request.customer);
+	if (!subject)
 	{
-		return; // This node has an older configuration: the other one asks again.
+		return; // This node has an older configuration; the other node asks again.
 	}
-	const quota_holders holders = m_owner.holders_of(asked->id);
+	const quota_holders holders = m_owner.holders_of(subject->id);
 	quota_request request = _request;
-	// Also where the other node takes this one for the first: it may know of a change before this one does.
+	// Also if the other node takes this node for the first lender: it may know of a change of nodes earlier.
 	const bool stands_in = !holders.first.ip.empty();
 	if (stands_in)
 	{
@@ -218,11 +218,11 @@
 	}
 	if (stands_in && !m_borrower.is_silent(holders.first.name_hash, m_clock.steady()))
 	{
-		probe(*asked);
+		probe(*subject);
 		m_owner.send(quota_grant{_request.customer, 0, k_sent_back}, _sender_ip);
 		return;
 	}
-	m_owner.send(m_lender.lend(*asked, request, m_clock.steady()), _sender_ip);
+	m_owner.send(m_lender.lend(*subject, request, m_clock.steady()), _sender_ip);
 }
 
 void token_exchange::probe(const quota_subject& _subject)
@@ -230,18 +230,18 @@
 	waiting_list& waiting = m_waiting[_subject.id];
 	if (waiting.empty())
 	{
-		const handler give_back_if_granted = [this, id = _subject.id](quota_answer _answer)
+		const handler return_if_granted = [this, id = _subject.id](quota_answer _answer)
 		{
-			const std::optional<quota_subject> one = m_owner.find_subject(id);
-			if (quota_answer::granted == _answer && one)
+			const std::optional<quota_subject> subject = m_owner.find_subject(id);
+			if (quota_answer::granted == _answer && subject)
 			{
-				give_back(*one);
+				give_back(*subject);
 			}
 		};
-		waiting.push_back({give_back_if_granted, m_clock.steady() + m_longest_ask});
+		waiting.push_back({return_if_granted, m_clock.steady() + m_max_wait});
 	}
-	ask(_subject);
-	wake_later();
+	request_tokens(_subject);
+	schedule_wake();
 }
 
 void token_exchange::tick(const nodes_in_sight& _nodes)
@@ -253,11 +253,11 @@
 		m_nodes_version = _nodes.version;
 		m_lender.on_nodes_changed(now);
 	}
-	if (now - m_forgot_at < k_forget_interval)
+	if (now - m_last_cleanup < k_cleanup_interval)
 	{
 		return;
 	}
-	m_forgot_at = now;
+	m_last_cleanup = now;
 	m_borrower.forget_idle(now);
 	m_lender.forget_idle(now);
 }
--- a/src/entry_node/token_exchange_p.h
+++ b/src/entry_node/token_exchange_p.h
@@ -2,11 +2,11 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Token exchange: requests of this node that wait for a token, and the questions and answers of nodes that
-/// borrow and lend. The same for quotas of customers and for limits of backend servers.
+/// Token exchange: requests of this node that wait for a token, and the messages by which nodes borrow and
+/// lend tokens. Used for quotas of customers and for limits of backend servers.
 ///
-/// Owns the borrower, the lender and the requests that wait. Relies on its owner to know the limits and who
-/// lends, to send messages and to hand in those that come, and to call tick().
+/// Owns the borrower, the lender and the waiting requests. Relies on its owner for the limits and their
+/// lenders, to send messages and to pass in the received ones, and to call tick().
 #pragma once
 
 #include "entry_node/quota_messages_p.h"
@@ -23,57 +23,61 @@
 {
 namespace asio = boost::asio;
 
-/// What a token exchange asks of its owner.
+/// Interface of a token exchange to its owner.
 class token_owner_base
 {
 public:
 	virtual ~token_owner_base() = default;
-	/// @returns Nothing when there is no such limit.
+	/// @returns The limit with that id; nothing when there is none.
 	virtual std::optional<quota_subject> find_subject(std::uint64_t _id) const = 0;
+	/// @returns The nodes that lend tokens of the limit: the first lender and its stand-in.
 	virtual quota_holders holders_of(std::uint64_t _id) const = 0;
 	virtual void send(const quota_message& _message, const std::string& _ip) = 0;
-	/// Takes note of a request that waited and is above the limit.
+	/// Called for each request that waited for a token and is above the limit.
 	virtual void on_refused(std::uint64_t _id) = 0;
 };
 
-/// Takes tokens for requests, and lends tokens.
+/// Obtains tokens for the requests of this node, and lends tokens to other nodes.
 class token_exchange
 {
 public:
 	using handler = std::function<void(quota_answer)>;
 
-	/// @param[in] _longest_ask Time for which a request waits for a token, at most.
+	/// @param[in] _max_wait Maximum time for which a request waits for a token.
 	token_exchange(asio::io_context& _context, const clock_base& _clock, quota_bounds _bounds,
-	    std::chrono::milliseconds _longest_ask, const fleet_view_base& _fleet, const node_name& _self,
+	    std::chrono::milliseconds _max_wait, const fleet_view_base& _fleet, const node_name& _self,
 	    token_owner_base& _owner);
 
-	/// Takes a token that is at hand.
-	/// @returns quota_answer::waits when wait() may get one.
+	/// Takes a token if one is available at this node.
+	/// @returns quota_answer::waits when wait() may get a token.
 	quota_answer take(const quota_subject& _subject);
-	/// Waits for a token, after take() has told so.
-	/// @param[in] _decided Called once, at once or later, and never with quota_answer::waits.
+	/// Waits for a token; to be called after take() returned quota_answer::waits.
+	/// @param[in] _decided Called once, immediately or later, and never with quota_answer::waits.
 	void wait(const quota_subject& _subject, handler _decided);
-	/// Takes back the token of a request that reached no backend server.
+	/// Returns the token of a request that reached no backend server.
 	void give_back(const quota_subject& _subject);
-	/// Takes a limit that fell to a part of what it was.
+	/// Adjusts the borrowed tokens to a limit that was lowered.
+	/// @param[in] _part New limit divided by the old one.
 	void on_limit_fell(std::uint64_t _id, double _part)
 	{
 		m_borrower.on_limit_fell(_id, _part);
 	}
+	/// @returns Retry-After for a request above the limit, seconds.
 	double seconds_to_come_back(const quota_subject& _subject) const
 	{
 		return m_borrower.seconds_to_come_back(_subject);
 	}
-	/// Takes a message of another node.
+	/// Handles a token request or a grant from another node.
 	void on_message(const quota_message& _message, const std::string& _sender_ip);
 	/// Call it at a steady interval.
-	/// @param[in] _nodes Nodes that may lend.
+	/// @param[in] _nodes Nodes that may lend tokens.
 	void tick(const nodes_in_sight& _nodes);
-	/// Asks again for requests that wait, and ends waits that are over. A timer calls it while any waits.
+	/// Asks again for tokens for waiting requests, and ends waits that are over. Called by a timer while any
+	/// request waits.
 	void wake();
 
 private:
-	/// A request that waits for a token.
+	/// A request that waits for a token, or a probe of the first lender.
 	struct waiting_request
 	{
 		handler decided;
@@ -81,28 +85,28 @@
 	};
 	using waiting_list = std::list<waiting_request>;
 
-	/// Asks the lender if a question is due.
-	void ask(const quota_subject& _subject);
-	/// Ends the wait of requests whose limit is gone.
-	void refuse_unknown(std::uint64_t _id);
-	/// Finds out whether the first lender of a limit answers.
+	/// Sends a token request to the lender if one is due.
+	void request_tokens(const quota_subject& _subject);
+	/// Ends the wait of requests whose limit was removed.
+	void fail_unknown(std::uint64_t _id);
+	/// Requests a token from the first lender of a limit to find out whether that lender answers.
 	void probe(const quota_subject& _subject);
-	void take_grant(const quota_grant& _grant, const std::string& _sender_ip);
-	void lend(const quota_request& _request, const std::string& _sender_ip);
-	/// Decides on the requests that wait.
+	void handle_grant(const quota_grant& _grant, const std::string& _sender_ip);
+	void handle_request(const quota_request& _request, const std::string& _sender_ip);
+	/// Gives tokens to waiting requests, and ends waits that are over.
 	void decide_waiting(const quota_subject& _subject);
-	void wake_later();
+	void schedule_wake();
 
 	const clock_base& m_clock;
-	std::chrono::milliseconds m_longest_ask;
+	std::chrono::milliseconds m_max_wait;
 	const fleet_view_base& m_fleet;
 	token_owner_base& m_owner;
 	quota_borrower m_borrower;
 	quota_lender m_lender;
 	std::unordered_map<std::uint64_t, waiting_list> m_waiting;
 	asio::steady_timer m_timer;
-	bool m_wakes = false;
+	bool m_wake_scheduled = false;
 	std::uint64_t m_nodes_version = 0;
-	steady_time m_forgot_at{};
+	steady_time m_last_cleanup{};
 };
 } // namespace larkrack
