--- a/src/entry_node/answer_words.cpp
+++ b/src/entry_node/answer_words.cpp
@@ -14,14 +14,14 @@
 namespace
 {
 namespace http = boost::beast::http;
-using head_of_answer = http::response_header<>;
+using message_header = http::response_header<>;
 
 std::string_view to_view(boost::beast::string_view _text)
 {
 	return {_text.data(), _text.size()};
 }
 
-std::optional<backend_load> load_beside(const head_of_answer& _head, const header_names& _names)
+std::optional<backend_load> parse_load_header(const message_header& _head, const header_names& _names)
 {
 	const std::string text(_head[_names.load]);
 	backend_load load;
@@ -32,8 +32,8 @@
 	return std::nullopt;
 }
 
-std::optional<limit_word> limit_beside(
-    const head_of_answer& _head, const header_names& _names, bool _ran, steady_time _now)
+std::optional<limit_word> parse_limit_header(
+    const message_header& _head, const header_names& _names, bool _ran, steady_time _now)
 {
 	const auto named = _head.find(_names.limit);
 	if (_head.end() != named)
@@ -43,8 +43,8 @@
 	return _ran ? std::optional<limit_word>(limit_word{std::nullopt, _now}) : std::nullopt;
 }
 
-/// @returns The longest, where several stand beside the answer.
-std::optional<steady_time::duration> rest_beside(const head_of_answer& _head)
+/// @returns The longest pause of all Retry-After headers of a response.
+std::optional<steady_time::duration> parse_longest_pause(const message_header& _head)
 {
 	std::optional<steady_time::duration> longest;
 	const auto named = _head.equal_range(http::field::retry_after);
@@ -56,22 +56,22 @@
 }
 } // namespace
 
-answer_words words_beside(
-    const head_of_answer& _head, const header_names& _names, bool _ran, steady_time _now)
+answer_words parse_backend_report(
+    const message_header& _head, const header_names& _names, bool _ran, steady_time _now)
 {
-	answer_words words;
+	answer_words report;
 	if (http::status::misdirected_request == _head.result())
 	{
-		return words;
+		return report;
 	}
-	words.load = load_beside(_head, _names);
-	words.limit = limit_beside(_head, _names, _ran, _now);
+	report.load = parse_load_header(_head, _names);
+	report.limit = parse_limit_header(_head, _names, _ran, _now);
 	if (http::status::service_unavailable == _head.result())
 	{
-		words.rest = rest_beside(_head);
+		report.rest = parse_longest_pause(_head);
 	}
 	const auto leaving = _head.find(_names.leaving);
-	words.leaving = _head.end() != leaving && "0" != leaving->value();
-	return words;
+	report.leaving = _head.end() != leaving && "0" != leaving->value();
+	return report;
 }
 } // namespace larkrack
--- a/src/entry_node/answer_words_p.h
+++ b/src/entry_node/answer_words_p.h
@@ -2,19 +2,19 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// What a backend server says of itself beside an answer, decoded once for all headers and for every kind of
-/// answer, whether the answer is passed on, kept or dropped.
+/// Report of a backend server about itself in the headers of a response. Decodes all such headers in one
+/// place and for every kind of response, whether the response is passed on, kept or dropped. No state.
 ///
-/// | header | beside | heard |
+/// | header | response | used |
 /// | --- | --- | --- |
-/// | load | any answer | yes |
-/// | limit | any answer | yes; its absence ends a limit only beside an answer to a request that ran |
-/// | rest (Retry-After) | 503 | yes; beside another status it speaks of the request, not of the server |
-/// | leaving | any answer | yes |
-/// | any of them | 421 | no: another backend server speaks |
+/// | load | any | yes |
+/// | limit | any | yes; its absence ends a limit only in the response to a request that ran |
+/// | pause (Retry-After) | 503 | yes; with another status it concerns the request, not the backend server |
+/// | leaving | any | yes |
+/// | any of them | 421 | no: the response is from another backend server |
 ///
-/// Relies on upstream_exchange to tell which answers may be trusted so far, and on backend_words to follow
-/// what was said.
+/// Relies on upstream_exchange to pass only responses that may be trusted this far, and on backend_words to
+/// act on the report.
 #pragma once
 
 #include "entry_node/header_names_p.h"
@@ -27,17 +27,17 @@
 
 namespace larkrack
 {
-/// What stands beside one answer.
+/// Report of a backend server in the headers of one response.
 struct answer_words
 {
 	std::optional<backend_load> load;
-	std::optional<limit_word> limit;           ///< The limit that holds from now on, or that none does.
-	std::optional<steady_time::duration> rest; ///< It wants nothing from this node for so long.
-	bool leaving = false;                      ///< It is about to end.
+	std::optional<limit_word> limit;           ///< The limit from now on, or that there is no limit any more.
+	std::optional<steady_time::duration> rest; ///< Pause: no requests from this node for that long.
+	bool leaving = false;                      ///< The backend server is about to shut down.
 };
 
-/// @param[in] _head Of an answer; its body need not have come.
+/// @param[in] _head Header of the response; its body need not be complete.
 /// @param[in] _ran Whether the backend server ran the request.
-answer_words words_beside(const boost::beast::http::response_header<>& _head, const header_names& _names,
-    bool _ran, steady_time _now);
+answer_words parse_backend_report(const boost::beast::http::response_header<>& _head,
+    const header_names& _names, bool _ran, steady_time _now);
 } // namespace larkrack
--- a/src/entry_node/caller_identity.cpp
+++ b/src/entry_node/caller_identity.cpp
@@ -7,8 +7,8 @@
 {
 namespace
 {
-/// @returns The customer that holds the request's one key, or null.
-const customer* holder_of_key(
+/// @returns The holder of the request's API key; null if there is not exactly one key header or no holder.
+const customer* find_key_holder(
     const caller_request& _request, const customer_directory& _customers, const std::string& _header)
 {
 	const auto keys = _request.equal_range(_header);
@@ -21,7 +21,7 @@
 }
 } // namespace
 
-const route* route_of(const caller_request& _request, const routing_table& _routes)
+const route* find_route(const caller_request& _request, const routing_table& _routes)
 {
 	const beast::string_view host = _request[http::field::host];
 	const beast::string_view target = _request.target();
@@ -35,7 +35,7 @@
 	{
 		return {};
 	}
-	if (const customer* holder = holder_of_key(_request, _customers, _names.api_key))
+	if (const customer* holder = find_key_holder(_request, _customers, _names.api_key))
 	{
 		return {key_check::known, holder};
 	}
--- a/src/entry_node/caller_identity_p.h
+++ b/src/entry_node/caller_identity_p.h
@@ -2,8 +2,8 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// What the head of a request tells: its route, and whose it is, by the header with the caller's API key. No
-/// state. Relies on customer_directory to find the holder of a key.
+/// Lookups by the headers of a request: its route, and its customer by the API key. No state. Relies on
+/// customer_directory to find the holder of a key.
 #pragma once
 
 #include "entry_node/upstream_p.h"
@@ -11,25 +11,25 @@
 
 namespace larkrack
 {
-/// @returns The request's route; null when there is none.
-const route* route_of(const caller_request& _request, const routing_table& _routes);
+/// @returns The route for the request's host and path; null when there is none.
+const route* find_route(const caller_request& _request, const routing_table& _routes);
 
-/// Whether a request may go on.
+/// Result of the check of a request's API key.
 enum class key_check
 {
-	not_needed, ///< No customers are declared, or the route is public and there is no known key.
-	known,
-	refused, ///< No key, several, or one that no customer holds.
+	not_needed, ///< No customers are declared, or the route is public and the request has no known key.
+	known,      ///< The key of a customer.
+	refused,    ///< No key, several keys, or a key that no customer holds.
 };
 
-/// Whose request it is.
+/// Customer that a request belongs to.
 struct caller_identity
 {
 	key_check check = key_check::not_needed;
-	const customer* holder = nullptr; ///< Of the directory that was asked; null unless the key is known.
+	const customer* holder = nullptr; ///< Owned by the directory; null unless the key is known.
 };
 
-/// A known key names its customer on a public route as well.
+/// Identifies the customer by the API key. A known key identifies its customer on a public route as well.
 caller_identity identify(const caller_request& _request, const route& _route,
     const customer_directory& _customers, const header_names& _names);
 } // namespace larkrack
--- a/src/entry_node/forwarded_request.cpp
+++ b/src/entry_node/forwarded_request.cpp
@@ -11,7 +11,7 @@
 {
 namespace
 {
-/// HTTP status for a request that no route takes.
+/// HTTP status for a request that matches no route.
 constexpr unsigned k_status_no_route = 404;
 
 } // namespace
@@ -27,7 +27,7 @@
 
 void forwarded_request::start()
 {
-	m_session->on_leave(
+	m_session->set_disconnect_handler(
 	    [self = shared_from_this()]
 	    {
 		    self->on_caller_left();
@@ -42,10 +42,10 @@
 		refuse(reason::no_configuration);
 		return;
 	}
-	m_route = route_of(m_request, *m_routes);
+	m_route = find_route(m_request, *m_routes);
 	if (nullptr == m_route)
 	{
-		answer(plain_answer(k_status_no_route), outcome::not_run, reason::unknown_service);
+		respond(make_response(k_status_no_route), outcome::not_run, reason::unknown_service);
 		return;
 	}
 	const std::optional<reason> refused = check_customer();
@@ -64,40 +64,40 @@
 		ask_quota();
 		return;
 	}
-	go_on();
+	route_and_send();
 }
 
-void forwarded_request::go_on()
+void forwarded_request::route_and_send()
 {
-	admit();
-	if (!end_if_due() && !hold_if_blocked())
+	select_service_and_region();
+	if (!end_if_deadline_over() && !handle_if_blocked())
 	{
-		send_or_wait();
+		send_or_enqueue();
 	}
 }
 
-void forwarded_request::send_or_wait()
+void forwarded_request::send_or_enqueue()
 {
 	if (!try_send())
 	{
-		wait_for_slot();
+		join_queue();
 	}
 }
 
-void forwarded_request::admit()
+void forwarded_request::select_service_and_region()
 {
-	const std::chrono::milliseconds longest = timeout();
-	m_deadline = m_arrived_at + longest;
+	const std::chrono::milliseconds time_limit = timeout();
+	m_deadline = m_arrived_at + time_limit;
 	const std::vector<route_target>& targets = m_route->targets;
 	const route_target& target =
-	    1 == targets.size() ? targets.front() : m_owner.split_of(*m_route).next(targets);
+	    1 == targets.size() ? targets.front() : m_owner.split_for(*m_route).next(targets);
 	m_service = service_name(target.service);
 	m_key = key_of_request();
 	m_versions = m_context.rollouts.rule_for(m_service, position_of(m_key, m_context.random));
-	service_steering& steering = m_owner.service_of(m_service).steering;
-	if (1 == m_homes.regions.size())
+	service_steering& steering = m_owner.service_entry(m_service).steering;
+	if (1 == m_home_regions.regions.size())
 	{
-		steering.count_bound(region_name(m_homes.regions.front()));
+		steering.count_bound(region_name(m_home_regions.regions.front()));
 	}
 	else
 	{
@@ -105,7 +105,7 @@
 	}
 	steering.keys.count(m_key);
 	steering.retries.earn(m_arrived_at);
-	m_planned = choose_region(
+	m_region_choice = choose_region(
 	    m_key, *m_route, m_context.region, m_context.distances, steering.shares, m_context.random);
 	m_deadline_timer.expires_after(m_deadline - m_context.clock.steady());
 	m_deadline_timer.async_wait(
@@ -138,21 +138,21 @@
 	return make_affinity_key(cookie_value(m_request, m_context.names.affinity_cookie), m_route->path_prefix);
 }
 
-void forwarded_request::wait_for_slot()
+void forwarded_request::join_queue()
 {
-	if (m_only_limits)
+	if (m_only_limited)
 	{
-		refuse(reason::no_headroom); // A slot that becomes free would not help it.
+		refuse(reason::no_headroom); // A free slot would not help: limits are used up.
 		return;
 	}
-	if (rests_beyond_wait())
+	if (pause_exceeds_wait())
 	{
 		refuse(reason::resting);
 		return;
 	}
-	m_state = state::waiting;
+	m_state = state::queued;
 	++m_context.counters.queued;
-	m_owner.service_of(m_service).waiting.add(m_route->priority, shared_from_this());
+	m_owner.service_entry(m_service).waiting.add(m_route->priority, shared_from_this());
 	m_wait_timer.expires_after(longest_wait(m_route->objective));
 	m_wait_timer.async_wait(
 	    [self = shared_from_this()](beast::error_code _error)
@@ -166,29 +166,29 @@
 
 void forwarded_request::leave_queue()
 {
-	if (state::waiting != m_state)
+	if (state::queued != m_state)
 	{
 		return;
 	}
 	m_wait_timer.cancel();
-	m_owner.service_of(m_service).waiting.remove(m_route->priority, shared_from_this());
+	m_owner.service_entry(m_service).waiting.remove(m_route->priority, shared_from_this());
 }
 
 void forwarded_request::on_wait_over()
 {
-	if (state::waiting == m_state)
+	if (state::queued == m_state)
 	{
 		refuse(reason::no_headroom);
 	}
 }
 
-bool forwarded_request::end_if_due()
+bool forwarded_request::end_if_deadline_over()
 {
 	if (m_context.clock.steady() < m_deadline)
 	{
 		return false;
 	}
-	end_with(answer_at_deadline(m_history, false));
+	finish_with(answer_at_deadline(m_history, false));
 	return true;
 }
 
@@ -199,9 +199,9 @@
 		const bool sent = m_exchange && m_exchange->sent();
 		if (sent)
 		{
-			note_attempt(*m_exchange->backend(), attempt_end::lost);
+			report_attempt(*m_exchange->backend(), attempt_end::lost);
 		}
-		end_with(answer_at_deadline(m_history, sent));
+		finish_with(answer_at_deadline(m_history, sent));
 	}
 }
 
@@ -213,47 +213,47 @@
 	}
 	++m_context.counters.left;
 	log_end(0, outcome::unknown, reason::none);
-	forget();
+	release();
 }
 
 void forwarded_request::refuse(reason _reason)
 {
-	answer(refusal_answer(k_status_refused, come_back_s()), outcome::not_run, _reason);
+	respond(make_refusal(k_status_refused, refusal_retry_after_s()), outcome::not_run, _reason);
 }
 
-double forwarded_request::come_back_s() const
+double forwarded_request::refusal_retry_after_s() const
 {
-	const double usual_s = retry_after_s(m_context.random);
-	if (!m_only_rests)
+	const double default_s = retry_after_s(m_context.random);
+	if (!m_only_resting)
 	{
-		return usual_s;
+		return default_s;
 	}
-	return retry_after_rest_s(to_s(m_back_at - m_context.clock.steady()), usual_s);
+	return retry_after_rest_s(to_s(m_first_return_at - m_context.clock.steady()), default_s);
 }
 
-void forwarded_request::end_with(const final_answer& _end)
+void forwarded_request::finish_with(const final_answer& _end)
 {
 	if (_end.kept_answer)
 	{
-		answer(std::move(*m_kept_answer), _end.end, _end.why);
+		respond(std::move(*m_kept_response), _end.end, _end.why);
 		return;
 	}
 	if (outcome::unknown == _end.end)
 	{
-		answer(plain_answer(_end.status), _end.end, _end.why);
+		respond(make_response(_end.status), _end.end, _end.why);
 		return;
 	}
 	refuse(_end.why);
 }
 
-void forwarded_request::answer(caller_response&& _response, outcome _outcome, reason _reason)
+void forwarded_request::respond(caller_response&& _response, outcome _outcome, reason _reason)
 {
 	strip_hop_by_hop(_response);
 	log_end(_response.result_int(), _outcome, _reason);
-	m_context.exported.count_outcome(m_service.text, _outcome, _reason);
-	m_context.exported.observe_seconds(to_s(m_context.clock.steady() - m_arrived_at));
+	m_context.exported_metrics.count_outcome(m_service.text, _outcome, _reason);
+	m_context.exported_metrics.observe_seconds(to_s(m_context.clock.steady() - m_arrived_at));
 	const std::shared_ptr<caller_session> session = m_session;
-	forget();
+	release();
 	session->respond(std::move(_response));
 }
 
@@ -271,7 +271,7 @@
 	    .number("status", _status)
 	    .text("outcome", to_string(_outcome))
 	    .text("reason", to_string(_reason))
-	    .text("region", m_planned.region.text)
+	    .text("region", m_region_choice.region.text)
 	    .text("backend", m_tried.empty() ? "" : m_tried.back().text)
 	    .number("attempts", m_history.reached)
 	    .number("unsent", m_history.unsent)
@@ -283,11 +283,11 @@
 	m_context.log.write(line);
 }
 
-void forwarded_request::forget()
+void forwarded_request::release()
 {
 	leave_queue();
 	give_token_back();
-	give_look_back();
+	return_trial();
 	m_state = state::ended;
 	m_deadline_timer.cancel();
 	m_wait_timer.cancel();
@@ -297,7 +297,7 @@
 		m_exchange->cancel(time_for_last_words(to_ms(now - m_sent_at), now >= m_deadline));
 		m_exchange.reset();
 	}
-	m_session->on_leave(nullptr);
-	m_owner.forget(shared_from_this());
+	m_session->set_disconnect_handler(nullptr);
+	m_owner.remove(shared_from_this());
 }
 } // namespace larkrack
--- a/src/entry_node/forwarded_request_attempts.cpp
+++ b/src/entry_node/forwarded_request_attempts.cpp
@@ -25,8 +25,8 @@
 	return attempt_end::lost;
 }
 
-/// @returns Whether a request that found no backend server for that reason may find one a moment later.
-bool slot_may_come_after(backend_choice_reason _why)
+/// @returns Whether a slot may become free soon after a choice that found no backend server for that reason.
+bool slot_may_free_up(backend_choice_reason _why)
 {
 	using why = backend_choice_reason;
 	return why::limit_spent != _why && why::none_usable != _why && why::all_resting != _why;
@@ -47,9 +47,9 @@
 	query.versions = m_versions;
 	query.sharers = m_context.fleet.sharers();
 	query.tokens = &m_context.limits;
-	// A resend asks for no token: it goes where there is room.
-	const bool in_time = steady_time{} == m_asking_since ||
-	                     m_context.clock.steady() - m_asking_since < longest_wait(m_route->objective);
+	// A retry does not wait for a token: it goes to a backend server that can take it at once.
+	const bool in_time = steady_time{} == m_token_wait_since ||
+	                     m_context.clock.steady() - m_token_wait_since < longest_wait(m_route->objective);
 	query.waits_for_token = m_tried.empty() && in_time;
 	query.without_token = &m_without_token;
 	if (m_route->large_answers)
@@ -65,40 +65,40 @@
 
 bool forwarded_request::try_send()
 {
-	if (state::waiting == m_state && refuse_after_wait())
+	if (state::queued == m_state && refuse_after_wait())
 	{
 		return true;
 	}
-	service_steering& steering = m_owner.service_of(m_service).steering;
-	region_shares& shares = steering.shares.of(m_planned.rule);
-	const std::vector<std::string>& homes = m_homes.regions;
-	bool slot_may_come = false;
-	m_back_at = {};
-	m_only_rests = false; // Of the last try alone.
-	for (const region_name& region : regions_to_try(m_planned.region, shares.shares(), homes))
+	service_steering& steering = m_owner.service_entry(m_service).steering;
+	region_shares& shares = steering.shares.of(m_region_choice.rule);
+	const std::vector<std::string>& homes = m_home_regions.regions;
+	bool slot_may_free = false;
+	m_first_return_at = {};
+	m_only_resting = false;
+	for (const region_name& region : regions_to_try(m_region_choice.region, shares.shares(), homes))
 	{
 		const backend_choice choice = choose_backend_in(region, steering);
 		if (nullptr == choice.backend)
 		{
-			note_none(choice);
-			slot_may_come = slot_may_come || slot_may_come_after(choice.why);
+			note_no_backend(choice);
+			slot_may_free = slot_may_free || slot_may_free_up(choice.why);
 			continue;
 		}
-		if (region != m_planned.region)
+		if (region != m_region_choice.region)
 		{
-			if (!leaves_freely(m_planned.region, homes) &&
-			    departure::denied == steering.overflow.may_leave(m_planned.region, homes,
+			if (!leaves_freely(m_region_choice.region, homes) &&
+			    departure::denied == steering.overflow.may_leave(m_region_choice.region, homes,
 			                             steering.demand.requests_per_s(), m_context.clock.steady()))
 			{
 				if (backend_choice_reason::awaits_token != choice.why)
 				{
 					m_context.limits.give_back(*choice.backend);
 				}
-				m_only_limits = false;
+				m_only_limited = false;
 				return false;
 			}
-			shares.move_credit(m_planned.region, region);
-			m_planned.region = region;
+			shares.move_credit(m_region_choice.region, region);
+			m_region_choice.region = region;
 		}
 		leave_queue();
 		const backend_ptr backend = m_context.backends.find(choice.backend->registered.id);
@@ -112,12 +112,12 @@
 	}
 	if (version_side::target == m_versions.side)
 	{
-		m_versions.side = version_side::others; // None of the target has room: it isn't kept waiting for one.
+		m_versions.side = version_side::others; // The target version is full: not worth a wait.
 		return try_send();
 	}
-	m_only_limits = !slot_may_come && !m_without_token.empty();
-	m_only_rests = !slot_may_come && steady_time{} != m_back_at;
-	if (state::waiting == m_state && rests_beyond_wait())
+	m_only_limited = !slot_may_free && !m_without_token.empty();
+	m_only_resting = !slot_may_free && steady_time{} != m_first_return_at;
+	if (state::queued == m_state && pause_exceeds_wait())
 	{
 		refuse(reason::resting);
 		return true;
@@ -125,23 +125,24 @@
 	return false;
 }
 
-void forwarded_request::note_none(const backend_choice& _choice)
+void forwarded_request::note_no_backend(const backend_choice& _choice)
 {
 	if (backend_choice_reason::all_resting == _choice.why)
 	{
-		m_back_at = steady_time{} == m_back_at ? _choice.back_at : std::min(m_back_at, _choice.back_at);
+		m_first_return_at = steady_time{} == m_first_return_at ? _choice.back_at
+		                                                       : std::min(m_first_return_at, _choice.back_at);
 	}
 }
 
-bool forwarded_request::rests_beyond_wait() const
+bool forwarded_request::pause_exceeds_wait() const
 {
-	return m_only_rests && m_back_at > m_context.clock.steady() + longest_wait(m_route->objective);
+	return m_only_resting && m_first_return_at > m_context.clock.steady() + longest_wait(m_route->objective);
 }
 
 void forwarded_request::ask_for_token(const backend_ptr& _backend)
 {
-	m_state = state::asking;
-	m_asking_since = steady_time{} == m_asking_since ? m_context.clock.steady() : m_asking_since;
+	m_state = state::awaiting_token;
+	m_token_wait_since = steady_time{} == m_token_wait_since ? m_context.clock.steady() : m_token_wait_since;
 	m_context.limits.wait_for_token(*_backend,
 	    [self = shared_from_this(), _backend](quota_answer _answer)
 	    {
@@ -153,9 +154,9 @@
 {
 	const bool granted = quota_answer::granted == _answer;
 	const steady_time now = m_context.clock.steady();
-	const bool goes_there =
-	    state::asking == m_state && granted && key_holds() && _backend->usable(now) && now < m_deadline;
-	if (goes_there)
+	const bool can_send = state::awaiting_token == m_state && granted && key_still_valid() &&
+	                      _backend->usable(now) && now < m_deadline;
+	if (can_send)
 	{
 		send_to(_backend);
 		return;
@@ -164,11 +165,11 @@
 	{
 		m_context.limits.give_back(*_backend);
 	}
-	if (state::asking != m_state || end_if_due())
+	if (state::awaiting_token != m_state || end_if_deadline_over())
 	{
 		return;
 	}
-	if (!key_holds())
+	if (!key_still_valid())
 	{
 		refuse_key();
 		return;
@@ -176,7 +177,7 @@
 	m_without_token.push_back(_backend->registered.id);
 	if (!try_send())
 	{
-		wait_for_slot();
+		join_queue();
 	}
 }
 
@@ -194,12 +195,13 @@
 	m_context.backends.note_sent(*_backend);
 	m_sent_at = m_context.clock.steady();
 	++m_context.counters.attempts;
-	m_exchange = std::make_shared<upstream_exchange>(m_context.io, m_context.clock, m_context.names,
-	    m_context.words, _backend, std::move(request), connect_timeout(_backend->region == m_context.region),
-	    [self = shared_from_this()](exchange_result&& _result)
-	    {
-		    self->on_result(std::move(_result));
-	    });
+	m_exchange =
+	    std::make_shared<upstream_exchange>(m_context.io, m_context.clock, m_context.names, m_context.reports,
+	        _backend, std::move(request), connect_timeout(_backend->region == m_context.region),
+	        [self = shared_from_this()](exchange_result&& _result)
+	        {
+		        self->on_result(std::move(_result));
+	        });
 	m_exchange->start();
 }
 
@@ -219,52 +221,52 @@
 	{
 		return;
 	}
-	note_attempt(*backend, end_of(_result));
-	note_exchange(backend, _result);
+	report_attempt(*backend, end_of(_result));
+	report_exchange(backend, _result);
 	if (version_side::target == m_versions.side)
 	{
-		m_versions.side = version_side::others; // A resend stays clear of what may be a bad version.
+		m_versions.side = version_side::others; // A retry avoids the new version, which may be faulty.
 	}
 	if (exchange_outcome::answered == _result.end)
 	{
-		const double took_s = to_s(m_context.clock.steady() - m_sent_at);
-		m_owner.service_of(m_service).steering.demand.add_service_time(took_s);
+		const double service_time_s = to_s(m_context.clock.steady() - m_sent_at);
+		m_owner.service_entry(m_service).steering.demand.add_service_time(service_time_s);
 	}
 	else
 	{
 		log_failed_attempt(*backend, _result.detail);
 	}
-	follow(rule_after(end_of(_result), m_route->repeat), std::move(_result));
+	apply_rule(rule_after(end_of(_result), m_route->repeat), std::move(_result));
 	m_owner.pump();
 }
 
-void forwarded_request::follow(const attempt_rule& _rule, exchange_result&& _result)
+void forwarded_request::apply_rule(const attempt_rule& _rule, exchange_result&& _result)
 {
 	m_history.count(_rule);
 	if (_rule.pass_answer_on)
 	{
-		answer(std::move(*_result.response), outcome::served, reason::none);
+		respond(std::move(*_result.response), outcome::served, reason::none);
 		return;
 	}
 	if (_rule.keep_answer)
 	{
-		m_kept_answer = std::move(_result.response);
+		m_kept_response = std::move(_result.response);
 	}
-	const bool ended_server = _result.connection_broke && !m_context.crashes.may_resend(fingerprint());
+	const bool crash_suspected = _result.connection_broke && !m_context.crashes.may_resend(fingerprint());
 	const bool in_time = m_context.clock.steady() < m_deadline;
-	const bool may_resend = in_time && key_holds() && !ended_server && look_state::used != m_look;
-	if (may_resend && may_resend_free(_rule, m_history) && try_send())
+	const bool may_retry = in_time && key_still_valid() && !crash_suspected && trial_state::used != m_trial;
+	if (may_retry && may_resend_free(_rule, m_history) && try_send())
 	{
 		return;
 	}
-	if (may_resend && resend_price::never != _rule.price && pay_for_resend() && try_send())
+	if (may_retry && resend_price::never != _rule.price && take_retry() && try_send())
 	{
 		return;
 	}
-	end_with(answer_without_resend(m_history, _rule.why));
+	finish_with(answer_without_resend(m_history, _rule.why));
 }
 
-bool forwarded_request::pay_for_resend()
+bool forwarded_request::take_retry()
 {
 	if (attempts_spent(m_history, m_route->max_attempts))
 	{
@@ -276,16 +278,16 @@
 	{
 		return resend::free == decision;
 	}
-	if (!m_owner.service_of(m_service).steering.retries.spend(m_context.clock.steady()))
+	if (!m_owner.service_entry(m_service).steering.retries.spend(m_context.clock.steady()))
 	{
 		++m_context.counters.retries_denied;
 		return false;
 	}
-	m_context.exported.count_retry();
+	m_context.exported_metrics.count_retry();
 	return true;
 }
 
-void forwarded_request::note_attempt(const backend_server& _backend, attempt_end _end)
+void forwarded_request::report_attempt(const backend_server& _backend, attempt_end _end)
 {
 	if (attempt_end::not_run == _end || attempt_end::not_sent == _end)
 	{
--- a/src/entry_node/forwarded_request_blocks.cpp
+++ b/src/entry_node/forwarded_request_blocks.cpp
@@ -9,8 +9,8 @@
 {
 namespace
 {
-/// Seconds after which the caller of a blocked request may come back: it stays blocked until a release or an
-/// operator changes that, so that sooner is in vain.
+/// Retry-After for a blocked request, seconds. The request stays blocked until a new release or an operator
+/// unblocks it, so that earlier retries are in vain.
 constexpr double k_blocked_retry_after_s = 30.0;
 
 std::string_view to_view(beast::string_view _text)
@@ -39,7 +39,7 @@
 	return *m_fingerprint;
 }
 
-bool forwarded_request::hold_if_blocked()
+bool forwarded_request::handle_if_blocked()
 {
 	crash_gate_base& crashes = m_context.crashes;
 	if (!crashes.blocks_any() || !crashes.concerns(head_hash()))
@@ -57,24 +57,24 @@
 		break;
 	}
 	leave_queue();
-	m_state = state::fresh;
+	m_state = state::initial;
 	crashes.ask_for_look(fingerprint(), m_service,
 	    [self = shared_from_this()](bool _granted)
 	    {
-		    self->on_look_decided(_granted);
+		    self->on_trial_decided(_granted);
 	    });
 	return true;
 }
 
-void forwarded_request::on_look_decided(bool _granted)
+void forwarded_request::on_trial_decided(bool _granted)
 {
 	if (_granted)
 	{
-		m_look = look_state::granted;
+		m_trial = trial_state::granted;
 	}
 	if (state::ended == m_state)
 	{
-		give_look_back();
+		return_trial();
 		return;
 	}
 	if (!_granted)
@@ -82,53 +82,53 @@
 		refuse(reason::ends_backends);
 		return;
 	}
-	m_key = {}; // Not beside others of its key: one of them may be at fault.
-	send_or_wait();
+	// Without affinity the trial is kept apart from other requests with its key: one of them may be at fault.
+	m_key = {};
+	send_or_enqueue();
 }
 
 void forwarded_request::refuse_blocked()
 {
-	answer(
-	    refusal_answer(k_status_refused, k_blocked_retry_after_s), outcome::not_run, reason::ends_backends);
+	respond(make_refusal(k_status_refused, k_blocked_retry_after_s), outcome::not_run, reason::ends_backends);
 }
 
-void forwarded_request::note_exchange(const backend_ptr& _backend, const exchange_result& _result)
+void forwarded_request::report_exchange(const backend_ptr& _backend, const exchange_result& _result)
 {
 	crash_gate_base& crashes = m_context.crashes;
 	const bool ran = exchange_outcome::answered == _result.end || exchange_outcome::lost == _result.end;
-	if (look_state::granted == m_look && ran)
+	if (trial_state::granted == m_trial && ran)
 	{
-		m_look = look_state::used;
+		m_trial = trial_state::used;
 	}
 	if (_result.connection_broke)
 	{
 		crashes.on_connection_broken(_backend, fingerprint());
 		return;
 	}
-	const bool cheap = m_request.body().empty();
-	if (exchange_outcome::answered == _result.end && (cheap || crashes.concerns(head_hash())))
+	const bool no_body = m_request.body().empty();
+	if (exchange_outcome::answered == _result.end && (no_body || crashes.concerns(head_hash())))
 	{
 		crashes.on_answered(fingerprint());
 	}
 }
 
-void forwarded_request::give_look_back()
+void forwarded_request::return_trial()
 {
-	const bool under_way = m_exchange && m_exchange->sent();
-	if (look_state::granted == m_look && !under_way)
+	const bool was_sent = m_exchange && m_exchange->sent();
+	if (trial_state::granted == m_trial && !was_sent)
 	{
 		m_context.crashes.on_look_returned(fingerprint());
 	}
-	m_look = look_state::none;
+	m_trial = trial_state::none;
 }
 
 bool forwarded_request::refuse_after_wait()
 {
-	if (!key_holds())
+	if (!key_still_valid())
 	{
 		refuse_key();
 		return true;
 	}
-	return end_if_due() || (look_state::none == m_look && hold_if_blocked());
+	return end_if_deadline_over() || (trial_state::none == m_trial && handle_if_blocked());
 }
 } // namespace larkrack
--- a/src/entry_node/forwarded_request_customer.cpp
+++ b/src/entry_node/forwarded_request_customer.cpp
@@ -10,13 +10,13 @@
 {
 namespace
 {
-/// HTTP status for a request without the key of a customer.
+/// HTTP status for a request without a valid API key.
 constexpr unsigned k_status_no_key = 401;
-/// HTTP status for a request above its customer's quota.
+/// HTTP status for a request above the quota of its customer.
 constexpr unsigned k_status_over_quota = 429;
-/// Callers above the quota are told to come back after this part of the time or more, no unit. Lower: more of
-/// them come early. Not measured.
-constexpr double k_back_least_part = 0.5;
+/// Minimum Retry-After of a caller above the quota, as a part of the time until the quota has tokens again.
+/// With a lower value more callers retry too early.
+constexpr double k_min_retry_spread = 0.5;
 } // namespace
 
 void forwarded_request::ask_quota()
@@ -36,7 +36,7 @@
 		give_token_back();
 		return;
 	}
-	if (!key_holds())
+	if (!key_still_valid())
 	{
 		refuse_key();
 		return;
@@ -44,7 +44,7 @@
 	switch (_answer)
 	{
 	case quota_answer::granted:
-		go_on();
+		route_and_send();
 		break;
 	case quota_answer::over:
 		refuse_over_quota();
@@ -73,12 +73,12 @@
 		return reason::unknown_key;
 	}
 	m_customer = identity.holder;
-	m_homes = nullptr == m_customer ? home_regions{m_route->home_regions, false}
-	                                : common_homes(m_route->home_regions, m_customer->home_regions);
-	return m_homes.none_left ? std::optional<reason>(reason::no_home) : std::nullopt;
+	m_home_regions = nullptr == m_customer ? home_regions{m_route->home_regions, false}
+	                                       : common_homes(m_route->home_regions, m_customer->home_regions);
+	return m_home_regions.none_left ? std::optional<reason>(reason::no_home) : std::nullopt;
 }
 
-bool forwarded_request::key_holds() const
+bool forwarded_request::key_still_valid() const
 {
 	if (m_context.routes == m_routes || nullptr == m_customer)
 	{
@@ -90,14 +90,14 @@
 
 void forwarded_request::refuse_key()
 {
-	answer(plain_answer(k_status_no_key), outcome::not_run, reason::unknown_key);
+	respond(make_response(k_status_no_key), outcome::not_run, reason::unknown_key);
 }
 
 void forwarded_request::refuse_over_quota()
 {
-	// Spread, so that the callers of one customer do not come back together.
-	const double spread = std::uniform_real_distribution<double>(k_back_least_part, 1.0)(m_context.random);
-	const double pause_s = spread * m_context.quotas.seconds_to_come_back(*m_customer);
-	answer(refusal_answer(k_status_over_quota, pause_s), outcome::not_run, reason::over_quota);
+	// A random part of the time, so that the callers of one customer do not all retry at once.
+	const double part = std::uniform_real_distribution<double>(k_min_retry_spread, 1.0)(m_context.random);
+	const double pause_s = part * m_context.quotas.seconds_to_come_back(*m_customer);
+	respond(make_refusal(k_status_over_quota, pause_s), outcome::not_run, reason::over_quota);
 }
 } // namespace larkrack
--- a/src/entry_node/forwarded_request_p.h
+++ b/src/entry_node/forwarded_request_p.h
@@ -2,23 +2,25 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// One request of a caller on its way to a final answer: its life and its input and output. What is decided
-/// on the way stands in src/steering.
+/// One request of a caller, from its arrival to its final response: its states, timers, input and
+/// output. The decisions on the way are made by src/steering.
 ///
-/// Owns the request, its timers and the running exchange. Relies on the owner (forwarder) to keep it until it
-/// ends, and to try it again while it waits.
+/// Owns the request, its timers and the running exchange. Relies on its owner (forwarder) to keep it alive
+/// until it ends, and to call try_send() again while it is queued.
 ///
 /// | state | event | next state |
 /// | --- | --- | --- |
-/// | fresh | no route, no configuration, node stopping, no customer, quota used up | ended |
-/// | fresh | a backend server has room | sent |
-/// | fresh | none has | waiting |
-/// | fresh, waiting | it is blocked, since backend servers have ended under it | ended, or as fresh once it
-/// is let through | | fresh, waiting | the backend server for it names a limit, and a token may come | asking
-/// | | asking | a token came | sent | | asking | none came | as fresh, without that backend server | |
-/// waiting | tried again, and a backend server has room | sent | | waiting | the wait is over, the deadline
-/// passed, or the caller left | ended | | sent | the attempt ended and another one follows | sent | | sent |
-/// answered, no other attempt follows, the deadline passed, or the caller left | ended |
+/// | initial | no configuration, no route, node stopping, key refused, quota used up | ended |
+/// | initial | a backend server can take the request | sent |
+/// | initial | no backend server can take the request | queued |
+/// | initial, queued | blocked, since it crashed backend servers | ended, or initial if granted a trial |
+/// | initial, queued | the chosen backend server has a limit, and a token may come | awaiting_token |
+/// | awaiting_token | token granted | sent |
+/// | awaiting_token | no token | as initial, without that backend server |
+/// | queued | tried again, and a backend server can take the request | sent |
+/// | queued | the wait is over, the deadline passed, or the caller disconnected | ended |
+/// | sent | the attempt ended and another attempt follows | sent |
+/// | sent | response received, no further attempt, deadline passed, or caller disconnected | ended |
 #pragma once
 
 #include "entry_node/forwarder_p.h"
@@ -26,7 +28,8 @@
 
 namespace larkrack
 {
-/// Lives from the moment a request was read until its answer was handed over, or its caller left.
+/// A request from the moment it was read until its response was handed to the session, or its caller
+/// disconnected.
 class forwarded_request : public std::enable_shared_from_this<forwarded_request>
 {
 public:
@@ -35,128 +38,133 @@
 
 	/// Finds the route and makes the first attempt.
 	void start();
-	/// Sends it to a backend server if one has room.
-	/// @returns False when it has to wait.
+	/// Sends the request to a backend server if one can take it.
+	/// @returns False when the request has to wait for a slot; true when it was sent, waits for a token or
+	/// was refused.
 	bool try_send();
 
 private:
 	enum class state
 	{
-		fresh,   ///< Not decided on, or the customer's quota decides.
-		waiting, ///< In the queue of its service, for a slot.
-		asking,  ///< For a token of a backend server that names a limit.
-		sent,    ///< An attempt is running, or its end is being dealt with.
-		ended,   ///< The caller has its answer, or left.
+		initial,        ///< Not routed yet, or waiting for the customer's quota or for a trial.
+		queued,         ///< In the queue of its service, waiting for a slot.
+		awaiting_token, ///< Waiting for a token of a backend server that announced a limit.
+		sent,           ///< An attempt is running, or its result is being handled.
+		ended,          ///< The caller has its response, or disconnected.
 	};
 
-	/// Of a request that is blocked.
-	enum class look_state
+	/// Trial of a blocked request: it is let through alone, to one backend server, and not retried.
+	enum class trial_state
 	{
-		none,    ///< It is not let through.
-		granted, ///< It is, alone; no backend server has got it yet.
-		used,    ///< A backend server has got it.
+		none,    ///< No trial was granted.
+		granted, ///< Granted, and no backend server has received the request yet.
+		used,    ///< A backend server received the request.
 	};
 
-	/// Finds the customer by the API key, and the home regions that bind.
-	/// @returns Nothing when the request may go on.
+	/// Finds the customer by the API key, and the home regions that the request must stay in.
+	/// @returns The reason for refusing the request, or nothing when it may proceed.
 	std::optional<reason> check_customer();
-	/// @returns Whether the customer still holds the key in the newest configuration.
-	bool key_holds() const;
+	/// @returns Whether the newest configuration still accepts the request's key.
+	bool key_still_valid() const;
 	void refuse_key();
-	/// Asks for a token of the customer's quota, then goes on.
+	/// Asks for a token of the customer's quota; on_quota() continues.
 	void ask_quota();
 	void on_quota(quota_answer _answer);
-	/// Gives the token back if no backend server was tried.
+	/// Returns the token of the customer's quota if no backend server was tried.
 	void give_token_back();
-	/// Makes the first attempt, or waits for a slot.
-	void go_on();
-	/// Decides on service, key, region and deadline.
-	void admit();
-	/// Sends it, or waits for a slot.
-	void send_or_wait();
-	/// @returns What stays the same when this request comes again; worked out when it is first asked for.
+	/// Selects service and region, then makes the first attempt or queues the request.
+	void route_and_send();
+	/// Sets deadline, service, affinity key and region, and starts the deadline timer.
+	void select_service_and_region();
+	/// Sends the request, or queues it.
+	void send_or_enqueue();
+	/// @returns Hashes that stay the same when this request is repeated; computed on first use.
 	const request_fingerprint& fingerprint();
 	std::uint64_t head_hash() const;
-	/// @returns Whether it is blocked, since backend servers have ended under it: it is then refused, or asks
-	/// to be let through.
-	bool hold_if_blocked();
-	void on_look_decided(bool _granted);
+	/// Refuses the request, or asks for a trial, if it is blocked because it crashed backend servers.
+	/// @returns Whether the request is blocked.
+	bool handle_if_blocked();
+	void on_trial_decided(bool _granted);
 	void refuse_blocked();
-	/// Tells those who watch for requests that end backend servers how an exchange ended.
-	void note_exchange(const backend_ptr& _backend, const exchange_result& _result);
-	/// Gives a look back that reached no backend server.
-	void give_look_back();
-	/// @returns Whether a request that has waited was refused, by what has changed meanwhile.
+	/// Reports the end of an exchange to the crash guard.
+	void report_exchange(const backend_ptr& _backend, const exchange_result& _result);
+	/// Returns a granted trial if no backend server received the request.
+	void return_trial();
+	/// Checks key, deadline and block again after a wait.
+	/// @returns Whether the request must not be sent: it was refused, has ended, or asks for a trial.
 	bool refuse_after_wait();
 	std::chrono::milliseconds timeout() const;
 	affinity_key key_of_request() const;
 	backend_choice choose_backend_in(const region_name& _region, service_steering& _steering);
-	/// Takes note of why a region has no backend server for it.
-	void note_none(const backend_choice& _choice);
-	/// @returns Whether rests alone kept it from being sent, and the first one ends when it waits no longer.
-	bool rests_beyond_wait() const;
-	/// Waits for a token of a backend server's limit.
+	/// Records why a region has no backend server for the request.
+	void note_no_backend(const backend_choice& _choice);
+	/// @returns Whether all candidates pause (Retry-After) and the first pause ends after the longest wait in
+	/// the queue.
+	bool pause_exceeds_wait() const;
+	/// Waits for a token of the backend server's limit.
 	void ask_for_token(const backend_ptr& _backend);
 	void on_token(const backend_ptr& _backend, quota_answer _answer);
 	void send_to(const backend_ptr& _backend);
-	void wait_for_slot();
+	void join_queue();
 	void leave_queue();
 
-	/// Ends it if its deadline is over by the clock: the timer is late after the VM was suspended.
-	/// @returns Whether it has ended.
-	bool end_if_due();
+	/// Ends the request if its deadline has passed by the clock. The timer alone is not enough: it fires late
+	/// after the VM was suspended.
+	/// @returns Whether the request has ended.
+	bool end_if_deadline_over();
 	void on_wait_over();
 	void on_deadline();
 	void on_caller_left();
 	void on_result(exchange_result&& _result);
-	/// Does what the rule for the end of an attempt says.
-	void follow(const attempt_rule& _rule, exchange_result&& _result);
-	/// @returns Whether another attempt may be made; the retry budget pays for it where it must.
-	bool pay_for_resend();
+	/// Acts on the rule for the end of an attempt: responds, retries or refuses.
+	void apply_rule(const attempt_rule& _rule, exchange_result&& _result);
+	/// Charges another attempt to the retry budget unless the attempt is free.
+	/// @returns Whether another attempt may be made.
+	bool take_retry();
 
 	void refuse(reason _reason);
-	/// @returns Seconds after which its caller may come back.
-	double come_back_s() const;
+	/// @returns Retry-After for a refusal, seconds.
+	double refusal_retry_after_s() const;
 	void refuse_over_quota();
-	void end_with(const final_answer& _end);
-	void answer(caller_response&& _response, outcome _outcome, reason _reason);
-	/// Tells roll-outs how an attempt ended that the backend server got.
-	void note_attempt(const backend_server& _backend, attempt_end _end);
+	void finish_with(const final_answer& _end);
+	void respond(caller_response&& _response, outcome _outcome, reason _reason);
+	/// Reports the end of an attempt that reached the backend server to the roll-outs.
+	void report_attempt(const backend_server& _backend, attempt_end _end);
 	void log_failed_attempt(const backend_server& _backend, const char* _why);
 	void log_end(unsigned _status, outcome _outcome, reason _reason);
-	void forget();
+	void release();
 
 	request_context& m_context;
 	request_owner_base& m_owner;
 	std::shared_ptr<caller_session> m_session;
 	caller_request m_request;
 	std::string m_request_id;
-	std::shared_ptr<const routing_table> m_routes; ///< Keeps m_route alive.
+	std::shared_ptr<const routing_table> m_routes; ///< In force at arrival; keeps m_route alive.
 	const route* m_route = nullptr;
-	const customer* m_customer = nullptr; ///< Of m_routes; null when no key was needed.
-	home_regions m_homes;
+	const customer* m_customer = nullptr; ///< Owned by m_routes; null: no customer.
+	home_regions m_home_regions;
 	service_name m_service;
 	affinity_key m_key;
-	version_rule m_versions; ///< Backend servers that it may go to while a version is rolled out.
-	region_choice m_planned; ///< Where it shall run; after it left its region, where it went.
+	version_rule m_versions;       ///< Versions that it may go to during a roll-out.
+	region_choice m_region_choice; ///< Planned region; after an overflow, the region used.
 	steady_time m_arrived_at{};
 	steady_time m_sent_at{};
 	steady_time m_deadline{};
-	steady_time m_asking_since{}; ///< For tokens of limits of backend servers; epoch: it did not ask.
+	steady_time m_token_wait_since{}; ///< First wait for a backend server's token; epoch: none.
 	asio::steady_timer m_deadline_timer;
 	asio::steady_timer m_wait_timer;
 	std::shared_ptr<upstream_exchange> m_exchange; ///< Null between two attempts.
-	/// Failure of a backend server, in case no other attempt does better.
-	std::optional<caller_response> m_kept_answer;
+	/// Failure response of a backend server, passed on if no later attempt succeeds.
+	std::optional<caller_response> m_kept_response;
 	std::vector<backend_id> m_tried;
-	std::vector<backend_id> m_without_token; ///< Whose limit had no token for it.
+	std::vector<backend_id> m_without_token; ///< Backend servers whose limit had no token left.
 	attempt_history m_history;
-	state m_state = state::fresh;
+	state m_state = state::initial;
 	std::optional<request_fingerprint> m_fingerprint;
-	look_state m_look = look_state::none;
-	bool m_has_token = false;   ///< Of the customer's quota.
-	bool m_only_limits = false; ///< At the last try, spent limits alone kept it from being sent.
-	bool m_only_rests = false;  ///< The same of backend servers that asked for rest.
-	steady_time m_back_at{};    ///< End of the first of these rests to end; the epoch: none was met.
+	trial_state m_trial = trial_state::none;
+	bool m_has_token = false;        ///< Holds a token of the customer's quota.
+	bool m_only_limited = false;     ///< Last try_send() failed only because limits were used up.
+	bool m_only_resting = false;     ///< Last try_send() failed only because backend servers pause.
+	steady_time m_first_return_at{}; ///< Earliest end of these pauses; epoch: none pauses.
 };
 } // namespace larkrack
--- a/src/entry_node/forwarder.cpp
+++ b/src/entry_node/forwarder.cpp
@@ -10,7 +10,7 @@
 {
 namespace
 {
-log_line line_of(const service_name& _service, const share_change& _change)
+log_line log_line_for(const service_name& _service, const share_change& _change)
 {
 	log_line line(event::shares_changed);
 	line.text("service", _service.text).decimal("home_share", _change.home_share);
@@ -27,13 +27,13 @@
     const placement& _placement, shared_bounds _bounds, backend_registry& _backends,
     const fleet_view_base& _fleet, quota_gate_base& _quotas, rollout_gate_base& _rollouts,
     limit_gate_base& _limits, crash_gate_base& _crashes, entry_log& _log, metrics& _metrics)
-    : m_words(_context, _clock, _limits, _log,
+    : m_reports(_context, _clock, _limits, _log,
           [this]
           {
 	          pump();
           }),
       m_context{_context, _clock, std::move(_names), region_name(_placement.region),
-          domain_name(_placement.domain), _backends, _fleet, _quotas, _rollouts, _limits, _crashes, m_words,
+          domain_name(_placement.domain), _backends, _fleet, _quotas, _rollouts, _limits, _crashes, m_reports,
           _log, _metrics, std::minstd_rand(static_cast<unsigned>(_clock.steady().time_since_epoch().count())),
           {}, {}, {}, {}, false},
       m_bounds(_bounds)
@@ -57,7 +57,7 @@
 	{
 		return std::nullopt;
 	}
-	const route* found = route_of(_request, *m_context.routes);
+	const route* found = find_route(_request, *m_context.routes);
 	if (nullptr == found ||
 	    key_check::refused !=
 	        identify(_request, *found, m_context.routes->customers(), m_context.names).check)
@@ -65,7 +65,7 @@
 		return std::nullopt;
 	}
 	++m_context.counters.requests;
-	m_context.exported.count_outcome("", outcome::not_run, reason::unknown_key);
+	m_context.exported_metrics.count_outcome("", outcome::not_run, reason::unknown_key);
 	return http::status::unauthorized;
 }
 
@@ -78,7 +78,7 @@
 	m_context.routes = std::move(_routes);
 }
 
-forwarded_service& forwarder::service_of(const service_name& _service)
+forwarded_service& forwarder::service_entry(const service_name& _service)
 {
 	const auto it = m_services.find(_service);
 	if (m_services.end() != it)
@@ -99,7 +99,7 @@
 	    others.bound_of_others(_name), _now);
 	if (change)
 	{
-		m_context.log.write(line_of(_name, *change));
+		m_context.log.write(log_line_for(_name, *change));
 	}
 }
 
@@ -107,19 +107,19 @@
 {
 	const steady_time now = m_context.clock.steady();
 	m_context.gap.on_turn(now);
-	const double passed_s = steady_time{} == m_ticked_at
-	                            ? k_rate_memory_s
-	                            : std::chrono::duration<double>(now - m_ticked_at).count();
-	m_ticked_at = now;
+	const double elapsed_s = steady_time{} == m_last_tick
+	                             ? k_rate_memory_s
+	                             : std::chrono::duration<double>(now - m_last_tick).count();
+	m_last_tick = now;
 	const double nodes = m_context.fleet.sharers().nodes;
-	const bool plans = now - m_planned_at >= plan_pause(m_context.backends.size());
-	m_planned_at = plans ? now : m_planned_at;
+	const bool plan_due = now - m_last_plan >= plan_pause(m_context.backends.size());
+	m_last_plan = plan_due ? now : m_last_plan;
 	for (auto& [name, service] : m_services)
 	{
 		service_steering& steering = service.steering;
-		steering.tick(passed_s);
+		steering.tick(elapsed_s);
 		steering.retries.set_nodes(nodes);
-		if (!plans)
+		if (!plan_due)
 		{
 			continue;
 		}
--- a/src/entry_node/forwarder_p.h
+++ b/src/entry_node/forwarder_p.h
@@ -2,11 +2,12 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Forwarder: all requests that are on their way, and what they share.
+/// Forwarder: all requests in flight, and the state that they share.
 ///
-/// Owns the requests, the queues of those that wait, and the state of each service. It gives the decisions of
-/// src/steering their figures at each tick, and logs what they changed. Relies on backend_registry for the
-/// backend servers, on the fleet view for the other nodes, and on entry_node to call tick() and pump().
+/// Owns the requests, the queues of waiting requests and the steering state of each service. Feeds the
+/// decisions of src/steering with current figures at each tick, and logs changes of shares. Relies on
+/// backend_registry for the backend servers, on the fleet view for the other nodes, and on entry_node to call
+/// tick() and pump().
 #pragma once
 
 #include "entry_node/backend_limits_p.h"
@@ -31,67 +32,67 @@
 
 namespace larkrack
 {
-/// Counters for the metrics page and tests.
+/// Counters since the start, for the metrics page and tests.
 struct forwarder_counters
 {
 	std::uint64_t requests = 0;
-	std::uint64_t attempts = 0;
-	std::uint64_t retries_denied = 0;
-	std::uint64_t left = 0;
-	std::uint64_t queued = 0;
+	std::uint64_t attempts = 0;       ///< Attempts at backend servers, retries included.
+	std::uint64_t retries_denied = 0; ///< Retries that the retry budget did not cover.
+	std::uint64_t left = 0;           ///< Callers that disconnected before their response.
+	std::uint64_t queued = 0;         ///< Waits of requests for a slot.
 };
 
 class forwarded_request;
 using request_ptr = std::shared_ptr<forwarded_request>;
 
-/// One service: the state of its decisions, and who waits for a slot.
+/// Steering state of one service, and the requests that wait for a slot.
 struct forwarded_service
 {
 	service_steering steering;
 	slot_queue<request_ptr> waiting;
 };
 
-/// What the requests of a node share. The forwarder owns it.
+/// State shared by all requests of a node. Owned by the forwarder.
 struct request_context
 {
 	asio::io_context& io;
 	const clock_base& clock;
 	header_names names;
-	region_name region; ///< Of this node.
-	domain_name domain; ///< Of this node.
+	region_name region; ///< Region of this node.
+	domain_name domain; ///< Failure domain of this node.
 	backend_registry& backends;
 	const fleet_view_base& fleet;
 	quota_gate_base& quotas;
 	rollout_gate_base& rollouts;
 	limit_gate_base& limits;
 	crash_gate_base& crashes;
-	answer_listener_base& words;
+	answer_listener_base& reports;
 	entry_log& log;
-	metrics& exported;
+	metrics& exported_metrics;
 	std::minstd_rand random;
-	std::shared_ptr<const routing_table> routes; ///< In force for new requests; null: none yet.
+	std::shared_ptr<const routing_table> routes; ///< Configuration for new requests; null: none yet.
 	region_distances distances;
 	forwarder_counters counters;
-	loop_gap gap;
+	loop_gap gap;          ///< Corrects arrival times after the event loop stood still.
 	bool stopping = false; ///< New requests are refused.
 };
 
-/// What a request asks of its owner.
+/// Interface of a request to its owner.
 class request_owner_base
 {
 public:
 	virtual ~request_owner_base() = default;
-	/// @returns State of a service; made when it is first asked for.
-	virtual forwarded_service& service_of(const service_name& _service) = 0;
-	/// @returns How the requests of a route are divided among its services.
-	virtual service_split& split_of(const route& _route) = 0;
-	/// Lets waiting requests try again.
+	/// @returns State of a service, created on first use.
+	virtual forwarded_service& service_entry(const service_name& _service) = 0;
+	/// @returns State that divides the requests of a route among its services.
+	virtual service_split& split_for(const route& _route) = 0;
+	/// Tries to send queued requests again.
 	virtual void pump() = 0;
-	/// Drops a request that has ended.
-	virtual void forget(const request_ptr& _request) = 0;
+	/// Removes a request that has ended.
+	virtual void remove(const request_ptr& _request) = 0;
 };
 
-/// Owner of all requests that are on their way.
+/// Owns all requests in flight.
 class forwarder : private request_owner_base
 {
 public:
@@ -101,31 +102,33 @@
 	    limit_gate_base& _limits, crash_gate_base& _crashes, entry_log& _log, metrics& _metrics);
 	~forwarder() override;
 
-	/// Takes a request of a caller.
+	/// Accepts a request of a caller.
 	void handle(const std::shared_ptr<caller_session>& _session, caller_request&& _request);
-	/// @returns The status with which a request is refused before its body is read: it has no key of a
-	/// customer. What else may refuse it is found when it was read.
+	/// Checks a request before its body is read. Only the customer's key is checked; all other reasons for a
+	/// refusal are checked once the request was read.
+	/// @returns The status to refuse the request with, or nothing.
 	std::optional<http::status> refuse_unread(const caller_request& _request);
-	/// Puts a configuration in force for requests that come from now on. Older ones are passed over.
+	/// Applies a configuration to requests that arrive from now on. A version that is not newer than the
+	/// current one is ignored.
 	void set_routes(std::shared_ptr<const routing_table> _routes);
-	/// From now on takes no request any more; those that are on their way go on.
+	/// Refuses new requests from now on; requests in flight continue.
 	void begin_stop()
 	{
 		m_context.stopping = true;
 	}
-	/// Lets waiting requests try again; call it when backend servers came or changed.
+	/// Tries to send queued requests again; call it when backend servers were added or changed.
 	void pump() override;
-	/// Works out shares and rates anew; call it at a steady interval.
+	/// Updates rates, and at longer intervals the shares of regions; call it at a steady interval.
 	void tick();
-	/// @returns First tries of callers at this node.
+	/// @returns Arriving requests of callers at this node, without retries.
 	rate_by_service requests_per_s() const;
-	/// @returns Requests with an affinity key that this node sends to each region, and apart those that may
-	/// run in one region only.
+	/// @returns Requests per second with an affinity key that this node sends to each region. Requests that
+	/// may run in one region only are included, and also listed apart under the name of bound_part_of().
 	rate_by_service_and_region sent_per_s() const;
-	/// @returns What backend servers said beside their answers.
+	/// @returns Reports of backend servers about themselves.
 	const backend_words& words() const
 	{
-		return m_words;
+		return m_reports;
 	}
 	const forwarder_counters& counters() const
 	{
@@ -135,31 +138,31 @@
 	{
 		return m_context.routes;
 	}
-	/// @returns Requests whose answer is due.
+	/// @returns Requests that have no response yet.
 	std::size_t in_flight() const
 	{
 		return m_requests.size();
 	}
 
 private:
-	forwarded_service& service_of(const service_name& _service) override;
-	service_split& split_of(const route& _route) override
+	forwarded_service& service_entry(const service_name& _service) override;
+	service_split& split_for(const route& _route) override
 	{
 		return m_splits[_route.name];
 	}
-	void forget(const request_ptr& _request) override
+	void remove(const request_ptr& _request) override
 	{
 		m_requests.erase(_request);
 	}
 	void update(const service_name& _name, service_steering& _steering, steady_time _now);
 
-	backend_words m_words;
+	backend_words m_reports;
 	request_context m_context;
 	shared_bounds m_bounds;
 	std::map<service_name, forwarded_service> m_services;
-	std::map<std::string, service_split> m_splits; ///< By route.
+	std::map<std::string, service_split> m_splits; ///< Key: name of the route.
 	std::unordered_set<request_ptr> m_requests;
-	steady_time m_ticked_at{};
-	steady_time m_planned_at{}; ///< When shares were planned last.
+	steady_time m_last_tick{};
+	steady_time m_last_plan{}; ///< Last update of the shares of regions.
 };
 } // namespace larkrack
--- a/src/entry_node/header_names_p.h
+++ b/src/entry_node/header_names_p.h
@@ -2,27 +2,27 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Names of the headers that callers, nodes and backend servers exchange. A platform may have names of its
-/// own.
+/// Names of the HTTP headers that callers, nodes and backend servers exchange. A platform may use other
+/// names.
 #pragma once
 
 #include <string>
 
 namespace larkrack
 {
-/// Names of the headers that callers, nodes and backend servers exchange. Set once, at the start.
+/// Header names, with their defaults. Set once, at the start of the node.
 struct header_names
 {
-	std::string request_id = "Larkrack-Request-Id";
-	std::string timeout_ms = "Larkrack-Deadline-Ms"; ///< Milliseconds that remain.
+	std::string request_id = "Larkrack-Request-Id";  ///< Repeated in the response.
+	std::string timeout_ms = "Larkrack-Deadline-Ms"; ///< Time left until the deadline, milliseconds.
 	std::string target_id = "Larkrack-Backend";      ///< Only this backend server may run the request.
 	std::string not_run = "Larkrack-Shed";           ///< The backend server did not run the request.
-	std::string load = "Larkrack-Load";              ///< Running, waiting, slots.
-	std::string limit = "Larkrack-Limit";     ///< Requests a second that it takes from all nodes together.
-	std::string leaving = "Larkrack-Leaving"; ///< The backend server is about to end.
-	std::string affinity_cookie = "Larkrack-Affinity";
-	std::string signature = "Larkrack-Signature"; ///< Stands in each answer of a backend server that ran.
-	std::string api_key = "Larkrack-Api-Key";     ///< Of a caller; never passed on.
-	std::string customer = "Larkrack-Customer"; ///< Name of the customer that holds the key; set by the node.
+	std::string load = "Larkrack-Load";              ///< "running,waiting,slots" of the backend server.
+	std::string limit = "Larkrack-Limit";     ///< Requests per second accepted from all nodes together.
+	std::string leaving = "Larkrack-Leaving"; ///< The backend server is about to shut down.
+	std::string affinity_cookie = "Larkrack-Affinity"; ///< Cookie with the affinity key.
+	std::string signature = "Larkrack-Signature"; ///< In each response of the server that ran the request.
+	std::string api_key = "Larkrack-Api-Key";     ///< API key of the caller; never passed on.
+	std::string customer = "Larkrack-Customer";   ///< Customer that holds the key; set by the node.
 };
 } // namespace larkrack
--- a/src/entry_node/header_rules.cpp
+++ b/src/entry_node/header_rules.cpp
@@ -11,16 +11,16 @@
 {
 namespace
 {
-/// Headers that concern one connection only, in lower case; they are never passed on.
+/// Hop-by-hop headers, in lower case; never passed on.
 constexpr const char* k_connection_headers[] = {"connection", "keep-alive", "proxy-connection", "te",
     "trailer", "transfer-encoding", "upgrade", "proxy-authenticate", "proxy-authorization"};
 } // namespace
 
 bool is_hop_by_hop(beast::string_view _name, const std::string& _listed)
 {
-	for (const char* one : k_connection_headers)
+	for (const char* header : k_connection_headers)
 	{
-		if (beast::iequals(_name, one))
+		if (beast::iequals(_name, header))
 		{
 			return true;
 		}
--- a/src/entry_node/header_rules_p.h
+++ b/src/entry_node/header_rules_p.h
@@ -2,7 +2,8 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Which headers concern only one connection (RFC 9110, 7.6.1), and small helpers for header texts. No state.
+/// Rules for hop-by-hop headers, which concern one connection only (RFC 9110, 7.6.1), and helpers for header
+/// strings. No state.
 #pragma once
 
 #include "entry_node/http_listener_p.h"
@@ -11,15 +12,15 @@
 
 namespace larkrack
 {
-/// @param[in] _listed Value of the Connection header, in lower case: the headers that it names go no further.
-/// @returns Whether the header must not be passed on.
+/// @param[in] _listed Value of the Connection header, in lower case: the headers it names are hop-by-hop too.
+/// @returns Whether the header concerns one connection only and must not be passed on.
 bool is_hop_by_hop(beast::string_view _name, const std::string& _listed);
-/// Takes all headers away that concern only the connection to the backend server.
+/// Removes all headers that concern only the connection to the backend server.
 void strip_hop_by_hop(caller_response& _response);
-/// @returns Value of a cookie, or an empty text.
+/// @returns Value of a cookie, or an empty string.
 std::string cookie_value(const caller_request& _request, const std::string& _name);
 std::string to_lower(beast::string_view _text);
 void append_text(std::string& _out, beast::string_view _text);
-/// Adds "name: value" and the end of the line.
+/// Appends "name: value" and the end of the line.
 void append_header(std::string& _out, beast::string_view _name, beast::string_view _value);
 } // namespace larkrack
--- a/src/entry_node/http_listener.cpp
+++ b/src/entry_node/http_listener.cpp
@@ -9,23 +9,22 @@
 {
 namespace
 {
-// The constants came with the first version of the file; none of them was measured by itself.
-
-/// Bytes of buffer that an idle connection keeps: memory at rest against an allocation for each request.
-constexpr std::size_t k_buffer_kept = 4096;
-/// Pause after a failed accept: new callers wait so long against a loop that takes the whole core.
-constexpr std::chrono::milliseconds k_accept_pause{20};
-/// Longest time for an answer to leave: a slow caller's download against a connection that one who stopped
-/// reading holds.
+/// Buffer bytes that an idle connection keeps. More costs idle memory, less an allocation per request.
+constexpr std::size_t k_idle_buffer_bytes = 4096;
+/// Delay after a failed accept. Longer: new callers wait. Shorter: the retries take up the CPU core.
+constexpr std::chrono::milliseconds k_accept_retry_delay{20};
+/// Maximum time to send a response. Longer: a caller that stopped reading holds a connection. Shorter:
+/// downloads of slow callers are cut off.
 constexpr std::chrono::milliseconds k_write_timeout{20000};
-/// After the last answer on a connection, the time for the caller to close it: descriptors against answers
-/// that a reset would take from a slow caller.
+/// Time for the caller to close a connection after its last response. Longer: more open descriptors. Shorter:
+/// a reset takes the response from a slow caller.
 constexpr std::chrono::milliseconds k_close_timeout{1000};
-/// Bytes that are read and thrown away meanwhile, at most.
-constexpr std::size_t k_drained_bytes = 512;
+/// Maximum bytes that are read and discarded during that time.
+constexpr std::size_t k_max_drained_bytes = 512;
 
-/// @returns Whether the framing of a request can not be taken for another one by any server behind.
-bool plain_framing(const http::request<http::string_body>& _request)
+/// @returns Whether no server downstream can interpret the framing of a request differently (request
+/// smuggling).
+bool has_unambiguous_framing(const http::request<http::string_body>& _request)
 {
 	const auto codings = _request.equal_range(http::field::transfer_encoding);
 	for (auto it = codings.first; it != codings.second; ++it)
@@ -56,13 +55,13 @@
 
 void caller_session::start()
 {
-	beast::error_code ignored; // Without the option small packets are only slower.
+	beast::error_code ignored; // Without the option small packets are only delayed.
 	m_socket.set_option(tcp::no_delay(true), ignored);
 	m_listener.m_sessions.insert(this);
 	wait_request();
 }
 
-void caller_session::arm(std::chrono::milliseconds _timeout)
+void caller_session::start_timer(std::chrono::milliseconds _timeout)
 {
 	m_timer.expires_after(_timeout);
 	m_timer.async_wait(
@@ -94,12 +93,12 @@
 		read_head();
 		return;
 	}
-	if (m_buffer.capacity() > k_buffer_kept)
+	if (m_buffer.capacity() > k_idle_buffer_bytes)
 	{
 		m_buffer.clear();
 		m_buffer.shrink_to_fit();
 	}
-	arm(m_listener.limits().idle_timeout);
+	start_timer(m_listener.limits().idle_timeout);
 	m_socket.async_wait(tcp::socket::wait_read,
 	    [self = shared_from_this()](beast::error_code _error)
 	    {
@@ -123,7 +122,7 @@
 	m_parser.emplace();
 	m_parser->header_limit(m_listener.limits().header_bytes);
 	m_parser->body_limit(m_listener.limits().body_bytes);
-	arm(m_listener.limits().header_timeout);
+	start_timer(m_listener.limits().header_timeout);
 	http::async_read_header(m_socket, m_buffer, *m_parser,
 	    [self = shared_from_this()](beast::error_code _error, std::size_t)
 	    {
@@ -158,14 +157,14 @@
 
 void caller_session::read_body()
 {
-	if (!plain_framing(m_parser->get()))
+	if (!has_unambiguous_framing(m_parser->get()))
 	{
 		refuse(http::status::bad_request);
 		return;
 	}
-	if (!m_parser->is_done() && m_listener.m_head_check)
+	if (!m_parser->is_done() && m_listener.m_header_check)
 	{
-		if (const std::optional<http::status> refused = m_listener.m_head_check(m_parser->get()))
+		if (const std::optional<http::status> refused = m_listener.m_header_check(m_parser->get()))
 		{
 			refuse(*refused);
 			return;
@@ -174,7 +173,7 @@
 	if (beast::iequals(m_parser->get()[http::field::expect], "100-continue") && !m_parser->is_done())
 	{
 		const auto text = std::make_shared<std::string>("HTTP/1.1 100 Continue\r\n\r\n");
-		// An error needs no handling here: the read of the body meets it too.
+		// No error handling needed: the read of the body fails too.
 		asio::async_write(m_socket, asio::buffer(*text),
 		    [self = shared_from_this(), text](beast::error_code, std::size_t)
 		    {
@@ -182,7 +181,7 @@
 	}
 	if (m_parser->is_done())
 	{
-		hand_over();
+		dispatch_request();
 		return;
 	}
 	http::async_read(m_socket, m_buffer, *m_parser,
@@ -202,7 +201,7 @@
 			    self->close();
 			    return;
 		    }
-		    self->hand_over();
+		    self->dispatch_request();
 	    });
 }
 
@@ -216,7 +215,7 @@
 	respond(std::move(response));
 }
 
-void caller_session::hand_over()
+void caller_session::dispatch_request()
 {
 	m_phase = phase::serve;
 	m_busy = true;
@@ -225,11 +224,11 @@
 	m_parser.reset();
 	m_keep_alive = request.keep_alive();
 	m_head_request = http::verb::head == request.method();
-	watch_caller();
+	watch_for_disconnect();
 	m_listener.m_handler(shared_from_this(), std::move(request));
 }
 
-void caller_session::watch_caller()
+void caller_session::watch_for_disconnect()
 {
 	if (m_buffer.size() > 0)
 	{
@@ -242,10 +241,10 @@
 		    {
 			    return;
 		    }
-		    beast::error_code error; // With one, the connection is of no more use, as at its end.
+		    beast::error_code error; // On an error the connection is unusable, as at its end.
 		    if (self->m_socket.available(error) > 0 && !error)
 		    {
-			    return; // The next request; it waits for its turn.
+			    return; // The next request; it is read after the current one.
 		    }
 		    self->close();
 	    });
@@ -257,7 +256,7 @@
 	{
 		return;
 	}
-	m_on_leave = nullptr;
+	m_disconnect_handler = nullptr;
 	m_keep_alive = m_keep_alive && !m_listener.stopping();
 	m_response.emplace(std::move(_response));
 	m_response->version(11);
@@ -270,7 +269,7 @@
 	{
 		m_response->content_length(m_response->body().size());
 	}
-	arm(k_write_timeout);
+	start_timer(k_write_timeout);
 	const auto sent = [self = shared_from_this()](beast::error_code _error, std::size_t)
 	{
 		self->on_sent(_error);
@@ -303,21 +302,22 @@
 	}
 	if (!m_keep_alive)
 	{
-		close_after_caller();
+		drain_and_close();
 		return;
 	}
 	wait_request();
 }
 
-void caller_session::close_after_caller()
+void caller_session::drain_and_close()
 {
-	// The caller closes after it has read the answer; a reset could take the answer from it.
+	// The caller closes after it has read the response. Closing first could reset the connection and discard
+	// the response on the caller's side.
 	m_phase = phase::idle;
 	++m_request_number;
-	beast::error_code ignored; // The connection ends in any case.
+	beast::error_code ignored; // The connection is closed in any case.
 	m_socket.shutdown(tcp::socket::shutdown_send, ignored);
-	arm(k_close_timeout);
-	const auto drained = std::make_shared<std::array<char, k_drained_bytes>>();
+	start_timer(k_close_timeout);
+	const auto drained = std::make_shared<std::array<char, k_max_drained_bytes>>();
 	m_socket.async_read_some(asio::buffer(*drained),
 	    [self = shared_from_this(), drained](beast::error_code, std::size_t)
 	    {
@@ -335,19 +335,19 @@
 	m_busy = false;
 	m_listener.m_sessions.erase(this);
 	m_timer.cancel();
-	beast::error_code ignored; // Nothing is left to be done with the connection.
+	beast::error_code ignored; // The connection is no longer needed.
 	m_socket.close(ignored);
-	if (m_on_leave)
+	if (m_disconnect_handler)
 	{
-		const auto handler = std::move(m_on_leave);
-		m_on_leave = nullptr;
+		const auto handler = std::move(m_disconnect_handler);
+		m_disconnect_handler = nullptr;
 		handler();
 	}
 }
 
 void caller_session::close_if_idle()
 {
-	beast::error_code error; // With one, nothing is available and the connection is closed, as it should be.
+	beast::error_code error; // On an error available() is 0 and the connection is closed, as intended.
 	if (phase::idle == m_phase && 0 == m_socket.available(error))
 	{
 		close();
@@ -356,7 +356,7 @@
 
 http_listener::http_listener(
     asio::io_context& _context, request_handler _handler, std::size_t _max_connections)
-    : m_acceptor(_context), m_accept_pause(_context), m_handler(std::move(_handler)),
+    : m_acceptor(_context), m_accept_retry_timer(_context), m_handler(std::move(_handler)),
       m_max_connections(_max_connections)
 {
 }
@@ -395,9 +395,9 @@
 		    }
 		    if (_error)
 		    {
-			    // Out of descriptors, or the like: let some connections end first.
-			    m_accept_pause.expires_after(k_accept_pause);
-			    m_accept_pause.async_wait(
+			    // Out of descriptors or a similar error: some connections have to end first.
+			    m_accept_retry_timer.expires_after(k_accept_retry_delay);
+			    m_accept_retry_timer.async_wait(
 			        [this](beast::error_code _canceled)
 			        {
 				        if (!_canceled)
@@ -417,9 +417,9 @@
 
 void http_listener::stop_accepting()
 {
-	beast::error_code ignored; // It is not used again.
+	beast::error_code ignored; // The acceptor is not used again.
 	m_acceptor.close(ignored);
-	m_accept_pause.cancel();
+	m_accept_retry_timer.cancel();
 }
 
 void http_listener::close_idle()
--- a/src/entry_node/http_listener_p.h
+++ b/src/entry_node/http_listener_p.h
@@ -2,10 +2,11 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// HTTP/1.1 towards callers, by callbacks: one request at a time on a connection. Owns the listening socket;
-/// each session owns itself by its pending operations. Relies on the handler to answer each request once.
-/// Connections that callers break are closed without a log line: that is ordinary, and the forwarder counts
-/// callers who leave before their answer.
+/// HTTP/1.1 server for callers, based on callbacks: one request at a time per connection.
+///
+/// Owns the listening socket; each session is kept alive by its pending operations. Relies on the handler to
+/// respond to each request exactly once. Connections that callers break are closed without a log line: broken
+/// connections are ordinary, and the forwarder counts callers that disconnect before their response.
 #pragma once
 
 #include "steering/routing_table_p.h"
@@ -32,7 +33,7 @@
 
 class http_listener;
 
-/// Connection from a caller.
+/// Connection from a caller. Kept alive by its pending operations.
 class caller_session : public std::enable_shared_from_this<caller_session>
 {
 public:
@@ -40,24 +41,25 @@
 
 	/// Reads the first request.
 	void start();
-	/// Sends the answer to the request that was handed over last, then reads the next one.
-	/// @param[in] _response Its Content-Length is set here, unless the request was HEAD.
+	/// Sends the response to the current request, then reads the next request.
+	/// @param[in] _response Its Content-Length is set here, unless the request was HEAD and the response
+	/// states one.
 	void respond(caller_response _response);
-	/// Sets what happens when the caller leaves before the answer was sent.
-	void on_leave(std::function<void()> _handler)
+	/// Sets the handler for a caller that disconnects before its response was sent.
+	void set_disconnect_handler(std::function<void()> _handler)
 	{
-		m_on_leave = std::move(_handler);
+		m_disconnect_handler = std::move(_handler);
 	}
-	/// Ends the connection without an answer.
+	/// Closes the connection without a response.
 	void close();
-	/// Closes the connection if no request is on it.
+	/// Closes the connection if it carries no request.
 	void close_if_idle();
 	/// @returns Hash of the caller's address, without the port.
 	std::uint64_t address_hash() const
 	{
 		return m_address_hash;
 	}
-	/// @returns Whether a request waits for its answer.
+	/// @returns Whether a request waits for its response.
 	bool busy() const
 	{
 		return m_busy;
@@ -68,19 +70,20 @@
 	{
 		idle,  ///< Waiting for the first byte of a request.
 		head,  ///< Reading a request.
-		serve, ///< An answer is due.
+		serve, ///< A response is due or being sent.
 	};
 	void wait_request();
 	void read_head();
 	void read_body();
 	void refuse(http::status _status);
-	void hand_over();
-	void watch_caller();
-	void arm(std::chrono::milliseconds _timeout);
+	void dispatch_request();
+	void watch_for_disconnect();
+	void start_timer(std::chrono::milliseconds _timeout);
 	void on_timeout();
 	void on_sent(beast::error_code _error);
-	/// Ends the connection once the caller has closed it, or after a moment.
-	void close_after_caller();
+	/// Shuts down the sending side, then closes the connection once the caller has closed it, or after
+	/// k_close_timeout.
+	void drain_and_close();
 
 	tcp::socket m_socket;
 	http_listener& m_listener;
@@ -89,7 +92,7 @@
 	beast::flat_buffer m_buffer;
 	std::optional<http::request_parser<http::string_body>> m_parser;
 	std::optional<caller_response> m_response;
-	std::function<void()> m_on_leave;
+	std::function<void()> m_disconnect_handler;
 	phase m_phase = phase::idle;
 	bool m_busy = false;
 	bool m_keep_alive = true;
@@ -98,34 +101,34 @@
 	unsigned m_request_number = 0;
 };
 
-/// Takes one request. Must lead to exactly one respond() or close().
+/// Handles one request. Must lead to exactly one respond() or close().
 using request_handler = std::function<void(const std::shared_ptr<caller_session>&, caller_request&&)>;
 
-/// Looks at the head of a request whose body was not read yet.
-/// @returns Status with which it is refused without reading on; nothing: read on.
-using head_check = std::function<std::optional<http::status>(const caller_request&)>;
+/// Checks the headers of a request before its body is read.
+/// @returns Status to refuse the request with, unread; nothing: read the body.
+using header_check = std::function<std::optional<http::status>(const caller_request&)>;
 
-/// Accepts connections of callers.
+/// Accepts connections from callers.
 class http_listener
 {
 public:
-	/// @param[in] _max_connections More are closed at once.
+	/// @param[in] _max_connections Further connections are closed at once.
 	http_listener(asio::io_context& _context, request_handler _handler, std::size_t _max_connections);
 
-	/// Sets what is asked before a body is read.
-	void set_head_check(head_check _check)
+	/// Sets the check that runs before the body of a request is read.
+	void set_head_check(header_check _check)
 	{
-		m_head_check = std::move(_check);
+		m_header_check = std::move(_check);
 	}
-	/// Listens.
-	/// @returns The error when the address can not be had.
+	/// Starts to listen and to accept connections.
+	/// @returns The error if the address cannot be opened or bound.
 	beast::error_code listen(const tcp::endpoint& _address);
-	/// @returns Address in use; of interest when port 0 was asked for.
+	/// @returns Bound address, with the port that was chosen if port 0 was given.
 	tcp::endpoint address() const
 	{
 		return m_acceptor.local_endpoint();
 	}
-	/// From now on each answer is the last on its connection.
+	/// Makes each response from now on the last one on its connection.
 	void begin_stop()
 	{
 		m_stopping = true;
@@ -134,7 +137,7 @@
 	void stop_accepting();
 	/// Closes connections that carry no request.
 	void close_idle();
-	/// @returns Requests whose answer is due.
+	/// @returns Requests that wait for their response.
 	std::size_t busy() const;
 	std::size_t connections() const
 	{
@@ -158,10 +161,10 @@
 	void accept();
 
 	tcp::acceptor m_acceptor;
-	tcp::endpoint m_caller; ///< Of the connection that is being accepted.
-	asio::steady_timer m_accept_pause;
+	tcp::endpoint m_caller; ///< Remote address of the connection being accepted.
+	asio::steady_timer m_accept_retry_timer;
 	request_handler m_handler;
-	head_check m_head_check;
+	header_check m_header_check;
 	std::size_t m_max_connections;
 	std::unordered_set<caller_session*> m_sessions;
 	caller_limits m_limits;
--- a/src/entry_node/upstream.cpp
+++ b/src/entry_node/upstream.cpp
@@ -12,33 +12,32 @@
 {
 namespace
 {
-// The constants came with the first version of the file; none of them was measured by itself.
+/// Maximum bytes of a response body: unlimited, since a download may have any length.
+constexpr std::uint64_t k_unlimited_body = INT64_MAX;
+/// Buffer bytes that an idle connection keeps. More costs idle memory, less an allocation per exchange.
+constexpr std::size_t k_idle_buffer_bytes = 4096;
+/// An idle connection is closed this long before the backend server would close it. Longer: more new
+/// connections. Shorter: requests are sent on connections that are being closed.
+constexpr std::chrono::milliseconds k_idle_margin{1000};
+/// Assumed Keep-Alive timeout of a backend server that states none.
+constexpr std::chrono::milliseconds k_default_keep_alive{4000};
+/// Maximum idle time of a connection that is reused for an at-most-once request. Longer: more such requests
+/// are lost on stale connections, and they cannot be retried. Shorter: more new connections.
+constexpr std::chrono::milliseconds k_max_idle_at_most_once{1500};
+/// Maximum idle time for all other requests: longer than any idle period.
+constexpr std::chrono::hours k_max_idle_repeatable{1};
+/// Maximum idle connections to one backend server. More cost descriptors and memory, fewer cost new
+/// connections after a burst.
+constexpr int k_max_idle_connections = 16;
+/// Maximum late responses to earlier requests that one exchange skips: a faulty peer must not hold it up.
+constexpr int k_max_foreign_responses = 2;
 
-/// Bytes of an answer's body: not limited, since a download may have any length.
-constexpr std::uint64_t k_any_length = INT64_MAX;
-/// Bytes of buffer that an idle connection keeps: memory at rest against an allocation for each exchange.
-constexpr std::size_t k_buffer_kept = 4096;
-/// A connection is dropped this long before the backend server would close it: a new connection more often
-/// against a request that meets a closing one.
-constexpr std::chrono::milliseconds k_rest_margin{1000};
-/// Time for which a backend server that states no Keep-Alive timeout is taken to keep a connection.
-constexpr std::chrono::milliseconds k_rest_default{4000};
-/// A request that may run once only does not use a connection that rested longer: a connect more often
-/// against an answer that is lost for good, since such a request is not repeated.
-constexpr std::chrono::milliseconds k_rest_at_most_once{1500};
-/// For all other requests: longer than any rest.
-constexpr std::chrono::hours k_rest_repeatable{1};
-/// Idle connections to one backend server: descriptors and memory against connects after a burst.
-constexpr int k_idle_connections = 16;
-/// Late answers to earlier requests that are passed over in one exchange: a stuck peer must not hold it.
-constexpr int k_foreign_answers = 2;
-
-bool has(const http::response_header<>& _head, const std::string& _name)
+bool has_header(const http::response_header<>& _head, const std::string& _name)
 {
 	return _head.end() != _head.find(_name);
 }
 
-std::chrono::milliseconds keep_alive_of(const caller_response& _response)
+std::chrono::milliseconds keep_alive_timeout(const caller_response& _response)
 {
 	const std::string value(_response[http::field::keep_alive]);
 	const std::size_t at = value.find("timeout=");
@@ -46,7 +45,7 @@
 	if (std::string::npos == at ||
 	    std::from_chars(value.data() + at + 8, value.data() + value.size(), seconds).ec != std::errc())
 	{
-		return k_rest_default;
+		return k_default_keep_alive;
 	}
 	return std::chrono::seconds(seconds);
 }
@@ -63,59 +62,61 @@
 	--m_backend->connections;
 }
 
-void upstream_connection::rest(std::chrono::milliseconds _life, steady_time _now)
+void upstream_connection::keep_idle(std::chrono::milliseconds _lifetime, steady_time _now)
 {
-	if (m_backend->gone || m_backend->idle_connections >= k_idle_connections || _life <= k_rest_margin)
+	if (m_backend->gone || m_backend->idle_connections >= k_max_idle_connections ||
+	    _lifetime <= k_idle_margin)
 	{
 		return;
 	}
 	buffer.clear();
-	if (buffer.capacity() > k_buffer_kept)
+	if (buffer.capacity() > k_idle_buffer_bytes)
 	{
 		buffer.shrink_to_fit();
 	}
-	m_resting = true;
-	m_rested_at = _now;
-	++m_rests;
+	m_idle = true;
+	m_idle_since = _now;
+	++m_idle_periods;
 	m_backend->add_idle(shared_from_this());
 	const std::weak_ptr<upstream_connection> weak = weak_from_this();
-	const auto end_rest = [weak, number = m_rests](beast::error_code _error)
+	const auto end_idle = [weak, number = m_idle_periods](beast::error_code _error)
 	{
 		const auto self = weak.lock();
-		if (asio::error::operation_aborted != _error && self && self->m_resting && self->m_rests == number)
+		if (asio::error::operation_aborted != _error && self && self->m_idle &&
+		    self->m_idle_periods == number)
 		{
-			self->drop();
+			self->discard();
 		}
 	};
-	socket.async_wait(tcp::socket::wait_read, end_rest);
-	m_timer.expires_after(_life - k_rest_margin);
-	m_timer.async_wait(end_rest);
+	socket.async_wait(tcp::socket::wait_read, end_idle);
+	m_timer.expires_after(_lifetime - k_idle_margin);
+	m_timer.async_wait(end_idle);
 }
 
-bool upstream_connection::wake(steady_time _now, std::chrono::milliseconds _longest_rest)
+bool upstream_connection::reuse(steady_time _now, std::chrono::milliseconds _max_idle_time)
 {
-	m_resting = false;
+	m_idle = false;
 	m_timer.cancel();
-	// An error here or in non_blocking() shows in receive(): the connection is then not used.
+	// An error here or in non_blocking() also shows in receive(), and the connection is not used.
 	beast::error_code error;
 	socket.cancel(error);
-	if (_now - m_rested_at > _longest_rest)
+	if (_now - m_idle_since > _max_idle_time)
 	{
 		return false;
 	}
-	// Readable means closed, or bytes that belong to no request.
+	// A readable idle connection was closed, or holds bytes that belong to no request.
 	socket.non_blocking(true, error);
 	char byte = 0;
 	socket.receive(asio::buffer(&byte, 1), tcp::socket::message_peek, error);
 	return asio::error::would_block == error;
 }
 
-void upstream_connection::drop()
+void upstream_connection::discard()
 {
 	const auto self = shared_from_this();
-	m_resting = false;
+	m_idle = false;
 	m_timer.cancel();
-	beast::error_code ignored; // The connection is given up in any case.
+	beast::error_code ignored; // The connection is discarded in any case.
 	socket.close(ignored);
 	m_backend->drop_idle(self);
 }
@@ -132,11 +133,11 @@
 void upstream_exchange::start()
 {
 	++m_backend->load.in_flight;
-	const std::chrono::milliseconds longest_rest =
-	    m_request.at_most_once ? k_rest_at_most_once : k_rest_repeatable;
+	const std::chrono::milliseconds max_idle_time =
+	    m_request.at_most_once ? k_max_idle_at_most_once : k_max_idle_repeatable;
 	while (const std::shared_ptr<upstream_connection> connection = m_backend->take_idle())
 	{
-		if (connection->wake(m_clock.steady(), longest_rest))
+		if (connection->reuse(m_clock.steady(), max_idle_time))
 		{
 			m_connection = connection;
 			write();
@@ -172,20 +173,20 @@
 			    return;
 		    }
 		    self->m_connect_time = self->m_clock.steady() - self->m_connecting_since;
-		    beast::error_code ignored; // Without the option small packets are only slower.
+		    beast::error_code ignored; // Without the option small packets are only delayed.
 		    self->m_connection->socket.set_option(tcp::no_delay(true), ignored);
-		    self->write_if_wanted();
+		    self->write_if_accepted();
 	    });
 }
 
-void upstream_exchange::write_if_wanted()
+void upstream_exchange::write_if_accepted()
 {
 	if (m_backend->wants_requests(m_clock.steady()))
 	{
 		write();
 		return;
 	}
-	m_connection->rest(k_rest_default, m_clock.steady());
+	m_connection->keep_idle(k_default_keep_alive, m_clock.steady());
 	m_connection.reset();
 	exchange_result result;
 	result.detail = "not_wanted";
@@ -197,12 +198,12 @@
 {
 	m_sent = true;
 	m_timer.cancel();
-	// The answer may come before the request has left whole; reading goes on meanwhile.
+	// The response may arrive before the whole request was sent, so reading starts at once.
 	asio::async_write(m_connection->socket, asio::buffer(*m_request.bytes),
 	    [self = shared_from_this(), connection = m_connection, bytes = m_request.bytes](
 	        beast::error_code _error, std::size_t)
 	    {
-		    self->m_written = !_error; // What the error means for the request is told by read().
+		    self->m_written = !_error; // read() handles the error.
 	    });
 	read();
 }
@@ -210,9 +211,9 @@
 void upstream_exchange::read()
 {
 	m_parser.emplace();
-	m_parser->body_limit(k_any_length);
+	m_parser->body_limit(k_unlimited_body);
 	m_parser->skip(m_request.head);
-	// The operation uses the connection until its handler runs, also after a cancellation.
+	// The handler keeps the connection alive, since the operation uses it also after a cancellation.
 	http::async_read(m_connection->socket, m_connection->buffer, *m_parser,
 	    [self = shared_from_this(), connection = m_connection](beast::error_code _error, std::size_t)
 	    {
@@ -224,48 +225,48 @@
 		    {
 			    const bool closed =
 			        http::error::end_of_stream == _error || asio::error::connection_reset == _error;
-			    self->take_words_of_part();
+			    self->handle_partial_report();
 			    if (self->m_cancelled)
 			    {
-				    self->end_listening();
+				    self->finish_cancelled();
 				    return;
 			    }
 			    self->m_connection_broke = closed;
 			    self->fail(exchange_outcome::lost, closed ? "closed" : "broken_answer", backend_signal::lost);
 			    return;
 		    }
-		    self->on_answer();
+		    self->on_response();
 	    });
 }
 
-bool upstream_exchange::is_ours(const http::response_header<>& _head) const
+bool upstream_exchange::matches_request(const http::response_header<>& _head) const
 {
 	const auto id = _head.find(m_names.request_id);
 	return _head.end() == id || id->value() == m_request.request_id;
 }
 
-void upstream_exchange::on_answer()
+void upstream_exchange::on_response()
 {
 	const unsigned status = m_parser->get().result_int();
 	if (status < 200 && 101 != status)
 	{
-		read(); // An interim answer; the final one follows.
+		read(); // An interim response (1xx); the final response follows.
 		return;
 	}
-	take_words(m_parser->get());
+	handle_report(m_parser->get());
 	if (m_cancelled)
 	{
-		end_listening();
+		finish_cancelled();
 		return;
 	}
-	if (!is_ours(m_parser->get()))
+	if (!matches_request(m_parser->get()))
 	{
-		pass_over_foreign();
+		skip_foreign_response();
 		return;
 	}
 	caller_response response = m_parser->release();
 	const bool wrong_server = http::status::misdirected_request == response.result();
-	const bool not_run = wrong_server || has(response, m_names.not_run);
+	const bool not_run = wrong_server || has_header(response, m_names.not_run);
 	if (!wrong_server && !is_from_backend(response))
 	{
 		fail(exchange_outcome::lost, "unsigned_answer", backend_signal::lost);
@@ -287,9 +288,9 @@
 	finish(std::move(result), backend_signal::answered);
 }
 
-void upstream_exchange::pass_over_foreign()
+void upstream_exchange::skip_foreign_response()
 {
-	if (++m_foreign_answers <= k_foreign_answers && m_parser->keep_alive())
+	if (++m_foreign_responses <= k_max_foreign_responses && m_parser->keep_alive())
 	{
 		read();
 		return;
@@ -299,40 +300,42 @@
 
 bool upstream_exchange::is_from_backend(const http::response_header<>& _head) const
 {
-	return has(_head, m_names.not_run) || has(_head, m_names.signature) || has(_head, m_names.request_id);
+	return has_header(_head, m_names.not_run) || has_header(_head, m_names.signature) ||
+	       has_header(_head, m_names.request_id);
 }
 
-void upstream_exchange::take_words(const http::response_header<>& _head)
+void upstream_exchange::handle_report(const http::response_header<>& _head)
 {
 	if (!is_from_backend(_head))
 	{
 		return;
 	}
-	answer_words words = words_beside(_head, m_names, !has(_head, m_names.not_run), m_clock.steady());
-	if (!is_ours(_head) || m_cancelled)
+	answer_words report =
+	    parse_backend_report(_head, m_names, !has_header(_head, m_names.not_run), m_clock.steady());
+	if (!matches_request(_head) || m_cancelled)
 	{
-		// Load and limit may have changed since, or are counted no more; a rest and a leaving hold.
-		words.load.reset();
-		words.limit.reset();
+		// Load and limit may be outdated, or the exchange is no longer counted. Pause and leaving stay valid.
+		report.load.reset();
+		report.limit.reset();
 	}
-	if (words.load)
+	if (report.load)
 	{
-		take_load(*words.load);
+		apply_load(*report.load);
 	}
-	m_listener.on_words(m_backend, words);
+	m_listener.on_words(m_backend, report);
 }
 
-void upstream_exchange::take_words_of_part()
+void upstream_exchange::handle_partial_report()
 {
 	if (m_parser && m_parser->is_header_done())
 	{
-		take_words(m_parser->get());
+		handle_report(m_parser->get());
 	}
 }
 
-void upstream_exchange::take_load(const backend_load& _load)
+void upstream_exchange::apply_load(const backend_load& _load)
 {
-	// The exchange that ends now is no longer among those that run.
+	// The reported load no longer includes the exchange that ends now.
 	--m_backend->load.in_flight;
 	m_backend->load.on_report(_load, m_clock.steady());
 	++m_backend->load.in_flight;
@@ -340,12 +343,12 @@
 
 void upstream_exchange::keep_connection(const caller_response& _response)
 {
-	// What is left of the request, or of an answer, would be taken for a part of the next exchange.
+	// Remaining bytes of the request or of a response would be read as part of the next exchange.
 	if (!m_written || m_connection->buffer.size() > 0)
 	{
 		return;
 	}
-	m_connection->rest(keep_alive_of(_response), m_clock.steady());
+	m_connection->keep_idle(keep_alive_timeout(_response), m_clock.steady());
 	m_connection.reset();
 }
 
@@ -375,39 +378,39 @@
 {
 	if (m_connection)
 	{
-		beast::error_code ignored; // The connection is given up in any case.
+		beast::error_code ignored; // The connection is discarded in any case.
 		m_connection->socket.close(ignored);
 		m_connection.reset();
 	}
 }
 
-void upstream_exchange::cancel(std::chrono::milliseconds _listen)
+void upstream_exchange::cancel(std::chrono::milliseconds _linger)
 {
 	if (m_done || m_cancelled)
 	{
 		return;
 	}
 	m_handler = nullptr;
-	take_words_of_part();
+	handle_partial_report();
 	--m_backend->load.in_flight;
 	m_cancelled = true;
-	if (!m_sent || _listen <= std::chrono::milliseconds(0))
+	if (!m_sent || _linger <= std::chrono::milliseconds(0))
 	{
-		end_listening();
+		finish_cancelled();
 		return;
 	}
-	m_timer.expires_after(_listen);
+	m_timer.expires_after(_linger);
 	m_timer.async_wait(
 	    [self = shared_from_this()](beast::error_code _error)
 	    {
 		    if (!_error && !self->m_done)
 		    {
-			    self->end_listening();
+			    self->finish_cancelled();
 		    }
 	    });
 }
 
-void upstream_exchange::end_listening()
+void upstream_exchange::finish_cancelled()
 {
 	m_done = true;
 	m_timer.cancel();
--- a/src/entry_node/upstream_p.h
+++ b/src/entry_node/upstream_p.h
@@ -2,10 +2,12 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// One exchange with a backend server, and the connection that it uses. What a backend server sends is never
-/// trusted: an exchange that did not end cleanly closes its connection. Owns the connection while the
-/// exchange lasts; idle ones belong to the backend server's entry in the registry. Relies on backend_registry
-/// for the entry and on its caller for retries: nothing is sent twice here.
+/// One exchange of request and response with a backend server, and the connection that it uses. Data from
+/// backend servers is never trusted: an exchange that did not end cleanly closes its connection.
+///
+/// Owns the connection during the exchange; idle connections belong to the backend server's entry in the
+/// registry. Relies on backend_registry for the entry and on its caller for retries: no request is sent twice
+/// here.
 #pragma once
 
 #include "entry_node/answer_words_p.h"
@@ -27,33 +29,35 @@
 	upstream_connection(const upstream_connection&) = delete;
 	upstream_connection& operator=(const upstream_connection&) = delete;
 
-	/// Keeps the connection for a later exchange, and drops it as soon as anything comes on it.
-	/// @param[in] _life Time for which the backend server keeps it open.
-	void rest(std::chrono::milliseconds _life, steady_time _now);
-	/// Ends the rest.
-	/// @returns Whether the connection is still fit for use.
-	bool wake(steady_time _now, std::chrono::milliseconds _longest_rest);
+	/// Keeps the idle connection for a later exchange. Closes it as soon as it becomes readable, or shortly
+	/// before the backend server would close it.
+	/// @param[in] _lifetime Time for which the backend server keeps an idle connection open.
+	void keep_idle(std::chrono::milliseconds _lifetime, steady_time _now);
+	/// Takes the connection out of its idle state.
+	/// @param[in] _max_idle_time A connection that was idle for longer is rejected.
+	/// @returns Whether the connection is still usable: open, and without unexpected bytes.
+	bool reuse(steady_time _now, std::chrono::milliseconds _max_idle_time);
 
 	tcp::socket socket;
 	beast::flat_buffer buffer;
 
 private:
-	void drop();
+	void discard();
 
 	backend_ptr m_backend;
 	asio::steady_timer m_timer;
-	steady_time m_rested_at{};
-	bool m_resting = false;
-	unsigned m_rests = 0;
+	steady_time m_idle_since{};
+	bool m_idle = false;
+	unsigned m_idle_periods = 0;
 };
 
 /// How an exchange ended.
 enum class exchange_outcome
 {
-	answered, ///< A whole answer of the backend server to this very request.
-	not_run,  ///< The backend server did not run it.
-	not_sent, ///< No byte of it was sent.
-	lost,     ///< It may have run.
+	answered, ///< A complete response of the backend server to this request.
+	not_run,  ///< The backend server did not run the request.
+	not_sent, ///< No byte of the request was sent.
+	lost,     ///< The request may have run, but no valid response came.
 };
 
 /// Result of an exchange.
@@ -61,28 +65,28 @@
 {
 	exchange_outcome end = exchange_outcome::not_sent;
 	std::optional<caller_response> response; ///< Set when answered.
-	const char* detail = "";                 ///< What went wrong, for the log.
-	bool withheld = false;                   ///< Not sent: the backend server wanted none any more.
-	bool connection_broke = false;           ///< Lost: the backend server's end of it was closed or reset.
-	/// Time that a new connection needed to come up; nothing when none was made.
+	const char* detail = "";                 ///< Error name for the log.
+	bool withheld = false;                   ///< Not sent: the backend server stopped accepting requests.
+	bool connection_broke = false;           ///< Lost: the backend server closed or reset the connection.
+	/// Time that a new connection took to establish; nothing when no connection was made.
 	std::optional<steady_time::duration> connect_time;
 };
 
-/// A request as it goes to one backend server.
+/// A request as it is sent to one backend server.
 struct upstream_request
 {
 	std::shared_ptr<const std::string> bytes;
 	std::string request_id;
-	bool head = false;         ///< Its answer has no body.
-	bool at_most_once = false; ///< A connection that may be stale is not used.
+	bool head = false;         ///< A HEAD request: its response has no body.
+	bool at_most_once = false; ///< Must not run twice: a connection that may be stale is not used.
 };
 
-/// Is told what a backend server says of itself beside its answers.
+/// Receives the reports of backend servers about themselves (answer_words_p.h).
 class answer_listener_base
 {
 public:
 	virtual ~answer_listener_base() = default;
-	virtual void on_words(const backend_ptr& _backend, const answer_words& _words) = 0;
+	virtual void on_words(const backend_ptr& _backend, const answer_words& _report) = 0;
 };
 
 /// Sends one request to one backend server.
@@ -91,17 +95,18 @@
 public:
 	using handler = std::function<void(exchange_result&&)>;
 
-	/// @param[in] _listener Outlives the exchange.
-	/// @param[in] _connect_timeout Longest time for a new connection to come up.
+	/// @param[in] _listener Must outlive the exchange.
+	/// @param[in] _connect_timeout Maximum time to establish a new connection.
 	upstream_exchange(asio::io_context& _context, const clock_base& _clock, const header_names& _names,
 	    answer_listener_base& _listener, backend_ptr _backend, upstream_request _request,
 	    std::chrono::milliseconds _connect_timeout, handler _handler);
-	/// Starts it. The handler is called once, unless it is cancelled before.
+	/// Starts the exchange. The handler is called once, unless the exchange is cancelled before.
 	void start();
-	/// Gives it up: the connection is closed, which stops the work of the backend server.
-	/// @param[in] _listen Time for which it stays open before, for what may stand beside an answer.
-	void cancel(std::chrono::milliseconds _listen);
-	/// @returns Whether a byte of the request may have left.
+	/// Cancels the exchange. Closing the connection stops the work of the backend server.
+	/// @param[in] _linger Time for which the connection stays open first, since a response that is on its way
+	/// may carry a report of the backend server.
+	void cancel(std::chrono::milliseconds _linger);
+	/// @returns Whether a byte of the request may have been sent.
 	bool sent() const
 	{
 		return m_sent;
@@ -113,27 +118,27 @@
 
 private:
 	void connect();
-	/// Sends it on a connection that came up, unless the backend server wants no requests any more.
-	void write_if_wanted();
+	/// Sends the request on a new connection, unless the backend server stopped accepting requests meanwhile.
+	void write_if_accepted();
 	void write();
 	void read();
-	void on_answer();
-	/// Reads on behind an answer to another request, or gives the connection up.
-	void pass_over_foreign();
+	void on_response();
+	/// Skips a response to another request and reads the next one, or gives the connection up.
+	void skip_foreign_response();
 	void fail(exchange_outcome _end, const char* _detail, backend_signal _signal);
 	void finish(exchange_result&& _result, backend_signal _signal);
-	bool is_ours(const http::response_header<>& _head) const;
-	/// @returns Whether an answer signs, or names a request. Others may come from anything that listens at
-	/// the address.
+	bool matches_request(const http::response_header<>& _head) const;
+	/// @returns Whether a response carries a signature, a request id or the mark of a request that was not
+	/// run. Without them it may come from any program that listens at the address.
 	bool is_from_backend(const http::response_header<>& _head) const;
-	/// Takes what stands beside an answer, also one that is not passed on.
-	void take_words(const http::response_header<>& _head);
-	/// Takes what stands beside an answer whose body did not come whole.
-	void take_words_of_part();
-	void take_load(const backend_load& _load);
+	/// Handles the report in the headers of a response, also if the response is not passed on.
+	void handle_report(const http::response_header<>& _head);
+	/// Handles the report of a response whose body is incomplete.
+	void handle_partial_report();
+	void apply_load(const backend_load& _load);
 	void keep_connection(const caller_response& _response);
-	/// Ends what is left of a cancelled exchange.
-	void end_listening();
+	/// Closes the connection of a cancelled exchange.
+	void finish_cancelled();
 	void close_connection();
 
 	asio::io_context& m_context;
@@ -148,12 +153,12 @@
 	std::shared_ptr<upstream_connection> m_connection;
 	std::optional<http::response_parser<http::string_body>> m_parser;
 	bool m_sent = false;
-	bool m_written = false; ///< The whole request has left.
+	bool m_written = false; ///< The whole request was sent.
 	bool m_done = false;
-	bool m_cancelled = false;        ///< Nobody waits for its end; it is listened to until m_done.
-	bool m_connection_broke = false; ///< By the other end, before an answer began.
+	bool m_cancelled = false;        ///< Cancelled; only a report is still of interest, until m_done.
+	bool m_connection_broke = false; ///< By the backend server, before a response began.
 	steady_time m_connecting_since{};
 	std::optional<steady_time::duration> m_connect_time;
-	int m_foreign_answers = 0;
+	int m_foreign_responses = 0;
 };
 } // namespace larkrack
--- a/src/entry_node/upstream_request_bytes.cpp
+++ b/src/entry_node/upstream_request_bytes.cpp
@@ -11,11 +11,11 @@
 {
 namespace
 {
-/// Room for the head of a usual request, bytes: saves moving it while it grows. Not measured.
-constexpr std::size_t k_usual_head = 512;
+/// Bytes reserved for the header of a typical request, to avoid reallocations.
+constexpr std::size_t k_header_reserve = 512;
 
-/// Software behind may take an underscore of a header's name for a hyphen.
-bool is_spelling_of(beast::string_view _name, const std::string& _header)
+/// Compares header names without case and with "_" equal to "-", since backend software may treat both alike.
+bool matches_header_name(beast::string_view _name, const std::string& _header)
 {
 	const auto same = [](char _left, char _right)
 	{
@@ -28,10 +28,11 @@
 	return std::equal(_name.begin(), _name.end(), _header.begin(), _header.end(), same);
 }
 
-bool is_replaced(const caller_request::value_type& _field, const header_names& _names)
+/// @returns Whether a header of the caller is dropped or replaced by one of the node.
+bool is_dropped_header(const caller_request::value_type& _field, const header_names& _names)
 {
-	return is_spelling_of(_field.name_string(), _names.api_key) ||
-	       is_spelling_of(_field.name_string(), _names.customer) ||
+	return matches_header_name(_field.name_string(), _names.api_key) ||
+	       matches_header_name(_field.name_string(), _names.customer) ||
 	       beast::iequals(_field.name_string(), _names.timeout_ms) ||
 	       beast::iequals(_field.name_string(), _names.target_id) ||
 	       http::field::content_length == _field.name() || http::field::expect == _field.name();
@@ -39,10 +40,10 @@
 } // namespace
 
 std::string upstream_request_bytes(const caller_request& _request, const header_names& _names,
-    std::chrono::milliseconds _left, const backend_id& _target, const customer_name& _customer)
+    std::chrono::milliseconds _time_left, const backend_id& _target, const customer_name& _customer)
 {
 	std::string bytes;
-	bytes.reserve(k_usual_head + _request.body().size());
+	bytes.reserve(k_header_reserve + _request.body().size());
 	append_text(bytes, _request.method_string());
 	bytes += ' ';
 	append_text(bytes, _request.target());
@@ -50,12 +51,12 @@
 	const std::string listed = to_lower(_request[http::field::connection]);
 	for (const auto& field : _request)
 	{
-		if (!is_hop_by_hop(field.name_string(), listed) && !is_replaced(field, _names))
+		if (!is_hop_by_hop(field.name_string(), listed) && !is_dropped_header(field, _names))
 		{
 			append_header(bytes, field.name_string(), field.value());
 		}
 	}
-	append_header(bytes, _names.timeout_ms, std::to_string(std::max<std::int64_t>(1, _left.count())));
+	append_header(bytes, _names.timeout_ms, std::to_string(std::max<std::int64_t>(1, _time_left.count())));
 	append_header(bytes, _names.target_id, _target.text);
 	if (!_customer.empty())
 	{
@@ -70,14 +71,14 @@
 	return bytes;
 }
 
-caller_response plain_answer(unsigned _status)
+caller_response make_response(unsigned _status)
 {
 	return caller_response(static_cast<http::status>(_status), 11);
 }
 
-caller_response refusal_answer(unsigned _status, double _retry_after_s)
+caller_response make_refusal(unsigned _status, double _retry_after_s)
 {
-	caller_response response = plain_answer(_status);
+	caller_response response = make_response(_status);
 	char text[16];
 	std::snprintf(text, sizeof(text), "%.2f", _retry_after_s);
 	response.set(http::field::retry_after, text);
--- a/src/entry_node/upstream_request_bytes_p.h
+++ b/src/entry_node/upstream_request_bytes_p.h
@@ -2,10 +2,10 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Bytes of HTTP that a node makes itself: a request as it goes to a backend server, and the answers that no
-/// backend server gave.
+/// HTTP messages that a node generates: a request as it is sent to a backend server, and the responses that
+/// no backend server gave. No state.
 ///
-/// Relies on header_rules_p.h for the headers that concern one connection only.
+/// Relies on header_rules_p.h for the hop-by-hop headers.
 #pragma once
 
 #include "entry_node/header_rules_p.h"
@@ -14,15 +14,16 @@
 
 namespace larkrack
 {
-/// @param[in] _left Time until the deadline; at least 1 ms is told.
-/// @param[in] _target Backend server that alone may run the request.
-/// @param[in] _customer Whose request it is; empty: nobody's.
-/// @returns The caller's request, without the headers of its connection and without its API key, and with
-/// the time left, the target, the customer and the length of its body.
+/// @param[in] _time_left Time until the deadline; the header states at least 1 ms.
+/// @param[in] _target The only backend server that may run the request.
+/// @param[in] _customer Customer that the request belongs to; empty: none.
+/// @returns The caller's request as bytes: without hop-by-hop headers and API key, with headers for the time
+/// left, the target, the customer and the length of the body.
 std::string upstream_request_bytes(const caller_request& _request, const header_names& _names,
-    std::chrono::milliseconds _left, const backend_id& _target, const customer_name& _customer);
-/// @returns An answer without a body.
-caller_response plain_answer(unsigned _status);
-/// @param[in] _retry_after_s Time after which the caller may come back.
-caller_response refusal_answer(unsigned _status, double _retry_after_s);
+    std::chrono::milliseconds _time_left, const backend_id& _target, const customer_name& _customer);
+/// @returns A response without a body.
+caller_response make_response(unsigned _status);
+/// @param[in] _retry_after_s Value of Retry-After, seconds.
+/// @returns A response without a body that tells the caller when to retry.
+caller_response make_refusal(unsigned _status, double _retry_after_s);
 } // namespace larkrack
