--- a/tests/blocked_requests_test.cpp
+++ b/tests/blocked_requests_test.cpp
@@ -2,8 +2,8 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Requests that are blocked, let through or on a backend server that ends; and requests of a node whose VM
-/// was suspended.
+/// Blocked requests, their trials, and requests whose backend server breaks the connection; and requests at a
+/// node whose VM was suspended.
 
 #include "entry_fixture.h"
 
@@ -12,18 +12,18 @@
 class blocked_requests_test : public entry_fixture
 {
 	CPPUNIT_TEST_SUITE(blocked_requests_test);
-	CPPUNIT_TEST(blocked_request_is_refused_at_once_with_a_time_to_come_back);
-	CPPUNIT_TEST(blocked_request_that_is_let_through_is_served);
-	CPPUNIT_TEST(blocked_request_that_is_not_let_through_is_refused);
-	CPPUNIT_TEST(request_let_through_whose_server_ends_is_not_sent_again);
-	CPPUNIT_TEST(look_of_a_caller_that_left_is_given_back);
+	CPPUNIT_TEST(blocked_request_is_refused_at_once_with_retry_after);
+	CPPUNIT_TEST(blocked_request_with_a_granted_trial_is_served);
+	CPPUNIT_TEST(blocked_request_without_a_trial_is_refused);
+	CPPUNIT_TEST(request_on_trial_that_loses_its_connection_is_not_retried);
+	CPPUNIT_TEST(trial_of_a_disconnected_caller_is_returned);
 	CPPUNIT_TEST(same_request_under_another_id_has_the_same_fingerprint);
-	CPPUNIT_TEST(request_that_may_not_be_sent_again_ends_as_unknown);
-	CPPUNIT_TEST(answer_is_told_and_a_refusal_of_a_full_server_is_not);
-	CPPUNIT_TEST(port_that_refuses_tells_an_end_and_an_open_one_does_not);
-	CPPUNIT_TEST(request_that_lay_in_the_socket_has_only_the_time_that_its_caller_has);
-	CPPUNIT_TEST(request_that_lay_longer_than_its_caller_waits_is_refused_at_once);
-	CPPUNIT_TEST(request_is_not_sent_again_after_a_suspension_past_its_deadline);
+	CPPUNIT_TEST(request_that_may_not_be_retried_ends_as_unknown);
+	CPPUNIT_TEST(response_is_reported_and_a_shed_request_is_not);
+	CPPUNIT_TEST(refused_port_is_taken_for_a_crash_and_an_open_port_is_not);
+	CPPUNIT_TEST(request_read_after_a_suspension_has_only_the_time_left_to_its_caller);
+	CPPUNIT_TEST(request_read_after_its_deadline_is_refused_at_once);
+	CPPUNIT_TEST(request_is_not_retried_after_a_suspension_past_its_deadline);
 	CPPUNIT_TEST_SUITE_END();
 
 protected:
@@ -32,15 +32,15 @@
 		m_crashes.decision = _decision;
 	}
 
-	/// Backend server that breaks the connection of each request.
-	scripted_backend& add_breaking(const std::string& _id)
+	/// Adds a backend server that resets the connection of each request.
+	scripted_backend& add_resetting(const std::string& _id)
 	{
 		scripted_backend& backend = add_backend(_id);
 		backend.usual = {"", false, true, false};
 		return backend;
 	}
 
-	void blocked_request_is_refused_at_once_with_a_time_to_come_back()
+	void blocked_request_is_refused_at_once_with_retry_after()
 	{
 		set_routes();
 		const scripted_backend& backend = add_backend("b1");
@@ -53,7 +53,7 @@
 		CPPUNIT_ASSERT(backend.requests.empty());
 	}
 
-	void blocked_request_that_is_let_through_is_served()
+	void blocked_request_with_a_granted_trial_is_served()
 	{
 		set_routes();
 		const scripted_backend& backend = add_backend("b1");
@@ -69,10 +69,10 @@
 		CPPUNIT_ASSERT_EQUAL(200U, caller.receive().result_int());
 		CPPUNIT_ASSERT_EQUAL(std::size_t(1), backend.requests.size());
 		CPPUNIT_ASSERT_EQUAL(std::size_t(1), m_crashes.answered.size());
-		CPPUNIT_ASSERT_EQUAL(0, m_crashes.looks_returned);
+		CPPUNIT_ASSERT_EQUAL(0, m_crashes.trials_returned);
 	}
 
-	void blocked_request_that_is_not_let_through_is_refused()
+	void blocked_request_without_a_trial_is_refused()
 	{
 		set_routes();
 		const scripted_backend& backend = add_backend("b1");
@@ -89,11 +89,11 @@
 		CPPUNIT_ASSERT(backend.requests.empty());
 	}
 
-	void request_let_through_whose_server_ends_is_not_sent_again()
+	void request_on_trial_that_loses_its_connection_is_not_retried()
 	{
 		set_routes();
-		add_breaking("b1");
-		add_breaking("b2");
+		add_resetting("b1");
+		add_resetting("b2");
 		block(block_decision::may_ask);
 		raw_caller caller = call();
 		caller.send(request("GET", "/read/1", "r1"));
@@ -107,7 +107,7 @@
 		CPPUNIT_ASSERT_EQUAL(std::size_t(1), m_crashes.broken.size());
 	}
 
-	void look_of_a_caller_that_left_is_given_back()
+	void trial_of_a_disconnected_caller_is_returned()
 	{
 		set_routes();
 		add_backend("b1");
@@ -126,13 +126,13 @@
 			    return 0 == m_forwarder->in_flight();
 		    });
 		m_crashes.waiting(true);
-		CPPUNIT_ASSERT_EQUAL(1, m_crashes.looks_returned);
+		CPPUNIT_ASSERT_EQUAL(1, m_crashes.trials_returned);
 	}
 
 	void same_request_under_another_id_has_the_same_fingerprint()
 	{
 		set_routes();
-		add_breaking("b1");
+		add_resetting("b1");
 		const auto pay = [this](const std::string& _id, const std::string& _body)
 		{
 			ask(request("POST", "/pay/1", _id, "", _body));
@@ -144,17 +144,17 @@
 		CPPUNIT_ASSERT(first.head == m_crashes.broken.back().head && first.head != first.content);
 	}
 
-	void request_that_may_not_be_sent_again_ends_as_unknown()
+	void request_that_may_not_be_retried_ends_as_unknown()
 	{
 		set_routes();
-		const scripted_backend& first = add_breaking("b1");
-		const scripted_backend& second = add_breaking("b2");
+		const scripted_backend& first = add_resetting("b1");
+		const scripted_backend& second = add_resetting("b2");
 		m_crashes.resends = false;
 		CPPUNIT_ASSERT_EQUAL(502U, ask(request("GET", "/read/1", "r1")).result_int());
 		CPPUNIT_ASSERT_EQUAL(std::size_t(1), first.requests.size() + second.requests.size());
 	}
 
-	void answer_is_told_and_a_refusal_of_a_full_server_is_not()
+	void response_is_reported_and_a_shed_request_is_not()
 	{
 		set_routes();
 		scripted_backend& backend = add_backend("b1");
@@ -167,8 +167,8 @@
 		CPPUNIT_ASSERT_EQUAL(std::size_t(1), m_crashes.answered.size());
 	}
 
-	/// @returns Whether a probe of a backend server finds it ended.
-	bool probed(const std::string& _id)
+	/// @returns Whether a probe finds that the backend server has crashed.
+	bool probe_finds_crash(const std::string& _id)
 	{
 		std::optional<bool> ended;
 		const auto probe = std::make_shared<crash_probe>(*m_context, m_registry->find(backend_id(_id)),
@@ -185,24 +185,25 @@
 		return *ended;
 	}
 
-	void port_that_refuses_tells_an_end_and_an_open_one_does_not()
+	void refused_port_is_taken_for_a_crash_and_an_open_port_is_not()
 	{
 		add_backend("b1");
-		CPPUNIT_ASSERT(!probed("b1"));
+		CPPUNIT_ASSERT(!probe_finds_crash("b1"));
 		m_backends.clear();
-		CPPUNIT_ASSERT(probed("b1"));
-		m_registry->find(backend_id("b1"))->idle_connections = 1; // Another connection is open still.
-		CPPUNIT_ASSERT(!probed("b1"));
+		CPPUNIT_ASSERT(probe_finds_crash("b1"));
+		m_registry->find(backend_id("b1"))->idle_connections = 1; // Another connection is still open.
+		CPPUNIT_ASSERT(!probe_finds_crash("b1"));
 	}
 
-	/// Guards against time-outs that outlive callers whose requests lay in the socket of a suspended node.
-	void request_that_lay_in_the_socket_has_only_the_time_that_its_caller_has()
+	/// Guards against timeouts that outlive the caller: a request that waited in the socket of a suspended
+	/// node has used up a part of its time before it is read.
+	void request_read_after_a_suspension_has_only_the_time_left_to_its_caller()
 	{
 		set_routes();
 		const scripted_backend& backend = add_backend("b1");
 		m_forwarder->tick();
 		raw_caller caller = call();
-		caller.send(request("GET", "/read/1", "r1")); // Its time is 1,500 ms.
+		caller.send(request("GET", "/read/1", "r1")); // States a timeout of 1,500 ms.
 		m_clock.suspend(std::chrono::milliseconds(1000));
 		CPPUNIT_ASSERT_EQUAL(200U, caller.receive().result_int());
 		const std::string& sent = backend.requests.front();
@@ -211,7 +212,7 @@
 		CPPUNIT_ASSERT_MESSAGE(sent, left_ms <= 500);
 	}
 
-	void request_that_lay_longer_than_its_caller_waits_is_refused_at_once()
+	void request_read_after_its_deadline_is_refused_at_once()
 	{
 		set_routes();
 		const scripted_backend& backend = add_backend("b1");
@@ -223,11 +224,11 @@
 		CPPUNIT_ASSERT(backend.requests.empty());
 	}
 
-	void request_is_not_sent_again_after_a_suspension_past_its_deadline()
+	void request_is_not_retried_after_a_suspension_past_its_deadline()
 	{
 		set_routes();
 		scripted_backend& first = add_backend("b1");
-		first.script = {{"", true}}; // Breaks the connection.
+		first.script = {{"", true}}; // Closes the connection.
 		m_forwarder->tick();
 		raw_caller caller = call();
 		caller.send(request("GET", "/read/1", "r1"));
--- a/tests/customer_requests_test.cpp
+++ b/tests/customer_requests_test.cpp
@@ -2,7 +2,7 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Requests of customers on their way: keys, names, homes.
+/// Requests of customers through a node: API keys, customer names, home regions and quotas.
 
 #include "entry_fixture.h"
 
@@ -11,21 +11,21 @@
 class customer_requests_test : public entry_fixture
 {
 	CPPUNIT_TEST_SUITE(customer_requests_test);
-	CPPUNIT_TEST(request_with_a_key_reaches_the_backend_server_with_the_name_alone);
+	CPPUNIT_TEST(request_with_a_key_reaches_the_backend_server_with_the_customer_name_only);
 	CPPUNIT_TEST(request_without_a_known_key_gets_401);
-	CPPUNIT_TEST(request_without_a_known_key_has_no_body_read);
+	CPPUNIT_TEST(request_without_a_known_key_is_refused_before_its_body);
 	CPPUNIT_TEST(request_before_any_configuration_gets_503);
 	CPPUNIT_TEST(request_on_a_public_route_needs_no_key_and_passes_none_on);
-	CPPUNIT_TEST(request_with_the_names_of_others_has_them_dropped);
+	CPPUNIT_TEST(request_with_forged_customer_headers_loses_them);
 	CPPUNIT_TEST(request_without_declared_customers_needs_no_key);
-	CPPUNIT_TEST(request_of_a_customer_stays_in_its_homes);
-	CPPUNIT_TEST(request_without_a_common_home_is_refused_at_once);
-	CPPUNIT_TEST(request_above_the_quota_gets_429_and_a_time_to_come_back);
-	CPPUNIT_TEST(request_that_waits_for_a_token_runs_when_it_comes);
-	CPPUNIT_TEST(request_that_reaches_no_backend_server_gives_its_token_back);
+	CPPUNIT_TEST(request_of_a_customer_stays_in_its_home_regions);
+	CPPUNIT_TEST(request_without_a_common_home_region_is_refused_at_once);
+	CPPUNIT_TEST(request_above_the_quota_gets_429_and_retry_after);
+	CPPUNIT_TEST(request_that_waits_for_a_token_runs_when_it_is_granted);
+	CPPUNIT_TEST(request_that_reaches_no_backend_server_returns_its_token);
 	CPPUNIT_TEST(request_of_a_customer_without_limit_takes_no_token);
-	CPPUNIT_TEST(request_that_waits_while_its_key_is_taken_away_gets_401);
-	CPPUNIT_TEST(request_that_runs_while_its_key_is_taken_away_ends_as_it_began);
+	CPPUNIT_TEST(waiting_request_gets_401_when_its_key_is_removed);
+	CPPUNIT_TEST(running_request_completes_when_its_key_is_removed);
 	CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -40,8 +40,8 @@
 	}
 
 protected:
-	/// Routes of the fixture and "/open/" (public), "/east/" (home in the east); customers shop (keys k1,
-	/// k2), mill (k3, at home in the west), farm (k4, with a limit).
+	/// Sets the routes of the fixture plus "/open/" (public) and "/east/" (home region east), and the
+	/// customers shop (keys k1 and k2), mill (key k3, home region west) and farm (key k4, with a quota).
 	void set_customers(std::uint64_t _version = 1, const std::vector<std::string>& _shop_keys = {"k1", "k2"})
 	{
 		const auto plain = routes(_version);
@@ -79,7 +79,7 @@
 		return "Larkrack-Api-Key: " + _key + "\r\n";
 	}
 
-	void request_with_a_key_reaches_the_backend_server_with_the_name_alone()
+	void request_with_a_key_reaches_the_backend_server_with_the_customer_name_only()
 	{
 		set_customers();
 		scripted_backend& backend = add_backend("b1");
@@ -106,7 +106,7 @@
 		CPPUNIT_ASSERT(backend.requests.empty());
 	}
 
-	void request_without_a_known_key_has_no_body_read()
+	void request_without_a_known_key_is_refused_before_its_body()
 	{
 		set_customers();
 		add_backend("b1");
@@ -137,7 +137,7 @@
 		CPPUNIT_ASSERT(std::string::npos != backend.requests[2].find("Larkrack-Customer: shop\r\n"));
 	}
 
-	void request_with_the_names_of_others_has_them_dropped()
+	void request_with_forged_customer_headers_loses_them()
 	{
 		set_customers();
 		scripted_backend& backend = add_backend("b1");
@@ -161,7 +161,7 @@
 		CPPUNIT_ASSERT(std::string::npos == backend.requests[0].find("Larkrack-Customer"));
 	}
 
-	void request_of_a_customer_stays_in_its_homes()
+	void request_of_a_customer_stays_in_its_home_regions()
 	{
 		set_customers();
 		scripted_backend& east = add_backend("b1");
@@ -170,7 +170,7 @@
 		CPPUNIT_ASSERT_EQUAL(200U, ask(request("GET", "/read/1", "r2", key("k1"))).result_int());
 	}
 
-	void request_without_a_common_home_is_refused_at_once()
+	void request_without_a_common_home_region_is_refused_at_once()
 	{
 		set_customers();
 		add_backend("b1");
@@ -181,7 +181,7 @@
 		CPPUNIT_ASSERT_EQUAL(200U, ask(request("GET", "/east/1", "r2", key("k1"))).result_int());
 	}
 
-	void request_above_the_quota_gets_429_and_a_time_to_come_back()
+	void request_above_the_quota_gets_429_and_retry_after()
 	{
 		set_customers();
 		scripted_backend& backend = add_backend("b1");
@@ -189,13 +189,13 @@
 		const caller_response refused = ask(request("GET", "/read/1", "r1", key("k4")));
 		CPPUNIT_ASSERT_EQUAL(429U, refused.result_int());
 		const double pause_s = std::stod(std::string(refused[http::field::retry_after]));
-		CPPUNIT_ASSERT(pause_s >= 1.0 && pause_s <= 2.0); // Spread below the 2 s that the quotas tell.
+		CPPUNIT_ASSERT(pause_s >= 1.0 && pause_s <= 2.0); // Spread below the 2 s of scripted_quotas.
 		CPPUNIT_ASSERT(backend.requests.empty() && m_quotas.given_back.empty());
 		m_quotas.answer = quota_answer::unknown;
 		CPPUNIT_ASSERT_EQUAL(503U, ask(request("GET", "/read/1", "r2", key("k4"))).result_int());
 	}
 
-	void request_that_waits_for_a_token_runs_when_it_comes()
+	void request_that_waits_for_a_token_runs_when_it_is_granted()
 	{
 		set_customers();
 		scripted_backend& backend = add_backend("b1");
@@ -208,14 +208,14 @@
 			    return nullptr != m_quotas.waiting;
 		    });
 		CPPUNIT_ASSERT(backend.requests.empty());
-		// Moved out, since the handler keeps the request, and the request needs the fixture's context.
+		// Moved out, since the handler holds the request, and the request needs the fixture's context.
 		const quota_gate_base::handler decide = std::exchange(m_quotas.waiting, nullptr);
 		decide(quota_answer::granted);
 		CPPUNIT_ASSERT_EQUAL(200U, caller.receive().result_int());
 		CPPUNIT_ASSERT(m_quotas.given_back.empty());
 	}
 
-	void request_that_reaches_no_backend_server_gives_its_token_back()
+	void request_that_reaches_no_backend_server_returns_its_token()
 	{
 		set_customers();
 		CPPUNIT_ASSERT_EQUAL(503U, ask(request("GET", "/read/1", "r1", key("k4"))).result_int());
@@ -230,7 +230,7 @@
 		CPPUNIT_ASSERT(m_quotas.asked.empty());
 	}
 
-	void request_that_waits_while_its_key_is_taken_away_gets_401()
+	void waiting_request_gets_401_when_its_key_is_removed()
 	{
 		set_customers();
 		add_backend("b1", 1).script = {{"", false, false, true}, {"", false, false, true}};
@@ -250,7 +250,7 @@
 		CPPUNIT_ASSERT_EQUAL(401U, third.receive().result_int());
 	}
 
-	void request_that_runs_while_its_key_is_taken_away_ends_as_it_began()
+	void running_request_completes_when_its_key_is_removed()
 	{
 		set_customers();
 		scripted_backend& backend = add_backend("b1");
--- a/tests/entry_fixture.h
+++ b/tests/entry_fixture.h
@@ -2,7 +2,11 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// A forwarder with its listener on loopback, backend servers that follow a script, and a raw caller.
+/// Fixture for tests of the path of a request: a forwarder with its listener on loopback, backend servers
+/// that follow a script, a caller that sends raw bytes, and gates whose answers the test sets.
+///
+/// Owns everything on one event loop; no other node and no store is needed. Relies on fixtures.h for
+/// run_until().
 #pragma once
 
 #include "fixtures.h"
@@ -13,25 +17,25 @@
 
 namespace larkrack
 {
-/// The clock of the operating system, ahead by the time for which the VM was suspended; timers know nothing
-/// of it.
+/// System clock, ahead by the time for which the VM was suspended. Timers do not include that time, as after
+/// a real suspension.
 class clock_suspended : public clock_system
 {
 public:
 	steady_time steady() const override
 	{
-		return clock_system::steady() + m_ahead;
+		return clock_system::steady() + m_suspended_time;
 	}
 	void suspend(std::chrono::milliseconds _time)
 	{
-		m_ahead += _time;
+		m_suspended_time += _time;
 	}
 
 private:
-	std::chrono::milliseconds m_ahead{0};
+	std::chrono::milliseconds m_suspended_time{0};
 };
 
-/// No other nodes.
+/// Fleet view of a node without other nodes.
 class fleet_view_alone : public fleet_view_base
 {
 public:
@@ -78,7 +82,8 @@
 	double nodes = 1.0;
 };
 
-/// Gives each request what the test says, at once or when it is asked to.
+/// Quota gate that gives each request the answer set by the test. With quota_answer::waits the request waits
+/// until the test calls the handler in "waiting".
 class scripted_quotas : public quota_gate_base
 {
 public:
@@ -98,17 +103,17 @@
 	}
 	double seconds_to_come_back(const customer&) const override
 	{
-		return come_back_s;
+		return quota_retry_after_s;
 	}
 
 	quota_answer answer = quota_answer::granted;
 	handler waiting;
-	double come_back_s = 2.0;
-	std::vector<std::string> asked;
-	std::vector<std::string> given_back;
+	double quota_retry_after_s = 2.0;
+	std::vector<std::string> asked;      ///< Customers of the requests that took a token.
+	std::vector<std::string> given_back; ///< Customers of the requests that returned a token.
 };
 
-/// Gives each request the rule that the test says, and keeps what is told of their ends.
+/// Roll-out gate that gives each request the rule set by the test, and records the reported attempts.
 class scripted_rollouts : public rollout_gate_base
 {
 public:
@@ -118,14 +123,15 @@
 	}
 	void on_attempt_end(const version_attempt& _attempt) override
 	{
-		ends.push_back(_attempt);
+		attempts.push_back(_attempt);
 	}
 
 	version_rule rule;
-	std::vector<version_attempt> ends;
+	std::vector<version_attempt> attempts;
 };
 
-/// Keeps what backend servers say of their limits, and gives each request what the test says.
+/// Limit gate that applies the limits that backend servers report, and gives each request the answer set by
+/// the test.
 class scripted_limits : public limit_gate_base
 {
 public:
@@ -153,7 +159,8 @@
 	int given_back = 0;
 };
 
-/// Blocks nothing, and keeps what is told of requests.
+/// Crash gate that decides on each request as set by the test (by default it blocks none), and records what
+/// is reported of requests.
 class scripted_crashes : public crash_gate_base
 {
 public:
@@ -176,7 +183,7 @@
 	}
 	void on_look_returned(const request_fingerprint&) override
 	{
-		++looks_returned;
+		++trials_returned;
 	}
 	void on_connection_broken(const backend_ptr&, const request_fingerprint& _request) override
 	{
@@ -194,23 +201,23 @@
 	block_decision decision = block_decision::open;
 	bool resends = true;
 	look_handler waiting;
-	int looks_returned = 0;
+	int trials_returned = 0;
 	std::vector<request_fingerprint> decided;
 	std::vector<request_fingerprint> broken;
 	std::vector<request_fingerprint> answered;
 };
 
-/// Backend server that answers each request with the next text of its script, as raw bytes.
+/// Backend server that responds to each request with the next step of its script, as raw bytes.
 class scripted_backend
 {
 public:
-	/// What one exchange does.
+	/// Response to one request.
 	struct step
 	{
-		std::string bytes;  ///< "{id}" stands for the id of the request that is answered.
-		bool close = false; ///< Closes the connection afterwards.
-		bool reset = false; ///< Resets it.
-		bool hold = false;  ///< Answers nothing and keeps the connection open.
+		std::string bytes;  ///< "{id}" is replaced by the id of the request.
+		bool close = false; ///< Closes the connection after the bytes were sent.
+		bool reset = false; ///< Resets the connection after the bytes were sent.
+		bool hold = false;  ///< Sends nothing and keeps the connection open.
 	};
 
 	explicit scripted_backend(asio::io_context& _context)
@@ -222,7 +229,8 @@
 	{
 		return m_acceptor.local_endpoint();
 	}
-	/// A whole answer with an id, a signature and a load.
+	/// @returns A complete response with request id and signature.
+	/// @param[in] _more Further header lines, each with its end of line.
 	static std::string answer(const std::string& _body, int _status = 200, const std::string& _more = "")
 	{
 		return "HTTP/1.1 " + std::to_string(_status) +
@@ -230,20 +238,20 @@
 		       "Content-Length: " + std::to_string(_body.size()) + "\r\n\r\n" + _body;
 	}
 
-	/// Answers all requests that it holds.
-	void answer_held(const std::string& _bytes)
+	/// Sends bytes on the connections of all held requests.
+	void respond_to_held(const std::string& _bytes)
 	{
 		for (const session_ptr& held : std::exchange(m_held, {}))
 		{
-			beast::error_code ignored; // The node may have gone.
+			beast::error_code ignored; // The node may have closed the connection.
 			asio::write(held->socket, asio::buffer(_bytes), ignored);
 		}
 	}
 
-	std::deque<step> script; ///< When it is empty: the usual step.
+	std::deque<step> script; ///< Steps for the next requests; once it is empty, "usual" is used.
 	step usual{answer("fine"), false, false, false};
-	std::vector<std::string> requests; ///< As they came, head and body.
-	std::vector<steady_time> arrivals; ///< Of them, by rising time.
+	std::vector<std::string> requests; ///< Received requests, header and body.
+	std::vector<steady_time> arrivals; ///< Arrival times of the requests, in rising order.
 	int connections = 0;
 	int closed_by_peer = 0;
 
@@ -288,10 +296,10 @@
 			    text << _session->request;
 			    requests.push_back(text.str());
 			    arrivals.push_back(clock_system().steady());
-			    play(_session);
+			    run_step(_session);
 		    });
 	}
-	void play(const session_ptr& _session)
+	void run_step(const session_ptr& _session)
 	{
 		step next = usual;
 		if (!script.empty())
@@ -333,7 +341,7 @@
 	std::vector<session_ptr> m_held;
 };
 
-/// Caller that sends raw bytes and reads one answer at a time.
+/// Caller that sends raw bytes and reads one response at a time.
 class raw_caller
 {
 public:
@@ -350,8 +358,8 @@
 		    {
 		    });
 	}
-	/// @param[in] _head Whether the request was HEAD: its answer has no body.
-	/// @returns The next answer; status 0 when the connection ended without one.
+	/// @param[in] _head Whether the request was HEAD: its response has no body.
+	/// @returns The next response; status 0 when the connection ended without a response.
 	caller_response receive(bool _head = false)
 	{
 		bool done = false;
@@ -389,7 +397,7 @@
 	beast::flat_buffer m_buffer;
 };
 
-/// Fixture: one node with routes "/read/" (repeatable) and "/pay/" (at most once) to service "shop".
+/// One node with routes "/read/" (repeatable) and "/pay/" (at most once) to service "shop".
 class entry_fixture : public CppUnit::TestFixture
 {
 public:
@@ -419,7 +427,7 @@
 	void tearDown() override
 	{
 		m_context->stop();
-		// Each may hold a request, which needs the context.
+		// Each handler may hold a request, which needs the context.
 		m_quotas.waiting = nullptr;
 		m_limits.waiting = nullptr;
 		m_crashes.waiting = nullptr;
@@ -473,6 +481,7 @@
 		return *m_backends.back();
 	}
 
+	/// @returns A caller that is connected to the node.
 	raw_caller call()
 	{
 		return {*m_context, m_listener->address()};
@@ -487,6 +496,8 @@
 		       _body;
 	}
 
+	/// Sends a request on a new connection.
+	/// @returns The response.
 	caller_response ask(const std::string& _bytes)
 	{
 		raw_caller caller = call();
--- a/tests/forwarder_test.cpp
+++ b/tests/forwarder_test.cpp
@@ -1,6 +1,10 @@
 // Copyright 2026 the larkrack developers. All rights reserved.
 // License: BSD 2-Clause, see LICENSE.
 
+/// @file
+/// Requests through a node to backend servers: what is forwarded and returned, retries, refusals, and
+/// responses of backend servers that are late, broken or from another server.
+
 #include "entry_fixture.h"
 
 namespace larkrack
@@ -8,34 +12,34 @@
 class forwarder_test : public entry_fixture
 {
 	CPPUNIT_TEST_SUITE(forwarder_test);
-	CPPUNIT_TEST(request_plain_arrives_unchanged_and_its_answer_goes_back);
-	CPPUNIT_TEST(request_without_configuration_is_not_run);
-	CPPUNIT_TEST(request_without_route_is_not_found);
-	CPPUNIT_TEST(request_time_left_is_passed_on);
-	CPPUNIT_TEST(request_head_gets_no_body);
-	CPPUNIT_TEST(repeatable_lost_answer_is_tried_elsewhere);
-	CPPUNIT_TEST(payment_lost_answer_is_never_sent_again);
-	CPPUNIT_TEST(payment_shed_is_tried_elsewhere);
-	CPPUNIT_TEST(payment_shed_everywhere_is_refused_with_a_time_to_come_back);
-	CPPUNIT_TEST(payment_at_a_taken_address_is_tried_elsewhere);
-	CPPUNIT_TEST(answer_of_another_request_is_passed_over);
-	CPPUNIT_TEST(answer_with_surplus_ends_the_connection);
-	CPPUNIT_TEST(answer_without_length_closed_is_whole);
-	CPPUNIT_TEST(answer_without_length_reset_is_lost);
-	CPPUNIT_TEST(answer_cut_short_is_never_passed_on);
-	CPPUNIT_TEST(answer_that_is_no_http_is_never_passed_on);
-	CPPUNIT_TEST(answer_before_the_body_was_read_ends_the_connection);
-	CPPUNIT_TEST(caller_leaves_work_is_cancelled);
+	CPPUNIT_TEST(plain_request_arrives_unchanged_and_its_response_is_returned);
+	CPPUNIT_TEST(request_without_configuration_gets_503);
+	CPPUNIT_TEST(request_without_route_gets_404);
+	CPPUNIT_TEST(request_carries_the_time_left_to_the_backend_server);
+	CPPUNIT_TEST(head_request_gets_no_body);
+	CPPUNIT_TEST(repeatable_request_with_lost_response_is_retried_elsewhere);
+	CPPUNIT_TEST(at_most_once_request_with_lost_response_is_never_retried);
+	CPPUNIT_TEST(at_most_once_request_that_is_shed_is_retried_elsewhere);
+	CPPUNIT_TEST(at_most_once_request_shed_by_all_is_refused_with_retry_after);
+	CPPUNIT_TEST(at_most_once_request_with_status_421_is_retried_elsewhere);
+	CPPUNIT_TEST(response_to_another_request_is_skipped);
+	CPPUNIT_TEST(response_with_extra_bytes_closes_the_connection);
+	CPPUNIT_TEST(response_without_length_ended_by_close_is_complete);
+	CPPUNIT_TEST(response_without_length_ended_by_reset_is_lost);
+	CPPUNIT_TEST(truncated_response_is_never_passed_on);
+	CPPUNIT_TEST(invalid_http_response_is_never_passed_on);
+	CPPUNIT_TEST(response_before_the_whole_request_was_sent_closes_the_connection);
+	CPPUNIT_TEST(caller_disconnect_cancels_the_work_of_the_backend_server);
 	CPPUNIT_TEST(failure_of_a_backend_server_keeps_its_status_and_signature);
-	CPPUNIT_TEST(all_slots_taken_request_is_refused_early);
-	CPPUNIT_TEST(slot_freed_waiting_request_is_sent);
-	CPPUNIT_TEST(retry_budget_spent_no_more_retries);
-	CPPUNIT_TEST(older_configuration_is_not_taken);
-	CPPUNIT_TEST(stopping_node_refuses_new_requests_and_ends_the_others);
+	CPPUNIT_TEST(request_with_all_slots_taken_is_refused_before_its_deadline);
+	CPPUNIT_TEST(waiting_request_is_sent_when_a_slot_becomes_free);
+	CPPUNIT_TEST(retry_budget_used_up_stops_retries);
+	CPPUNIT_TEST(older_configuration_is_ignored);
+	CPPUNIT_TEST(stopping_node_refuses_new_requests_and_completes_the_others);
 	CPPUNIT_TEST_SUITE_END();
 
 protected:
-	void request_plain_arrives_unchanged_and_its_answer_goes_back()
+	void plain_request_arrives_unchanged_and_its_response_is_returned()
 	{
 		set_routes();
 		scripted_backend& backend = add_backend("b1");
@@ -52,18 +56,18 @@
 		CPPUNIT_ASSERT(std::string::npos != sent.find("\r\n\r\nbody"));
 	}
 
-	void request_without_configuration_is_not_run()
+	void request_without_configuration_gets_503()
 	{
 		CPPUNIT_ASSERT_EQUAL(503U, ask(request("GET", "/read/1", "r1")).result_int());
 	}
 
-	void request_without_route_is_not_found()
+	void request_without_route_gets_404()
 	{
 		set_routes();
 		CPPUNIT_ASSERT_EQUAL(404U, ask(request("GET", "/other/1", "r1")).result_int());
 	}
 
-	void request_time_left_is_passed_on()
+	void request_carries_the_time_left_to_the_backend_server()
 	{
 		set_routes();
 		scripted_backend& backend = add_backend("b1");
@@ -75,7 +79,7 @@
 		CPPUNIT_ASSERT(std::string::npos == sent.find("Larkrack-Deadline-Ms: ", at + 1));
 	}
 
-	void request_head_gets_no_body()
+	void head_request_gets_no_body()
 	{
 		set_routes();
 		const std::string whole = scripted_backend::answer("fine");
@@ -84,12 +88,12 @@
 		caller.send(request("HEAD", "/read/1", "r1"));
 		const caller_response head = caller.receive(true);
 		CPPUNIT_ASSERT_EQUAL(std::string("4"), std::string(head[http::field::content_length]));
-		// A body of the first answer would be taken for the beginning of this one.
+		// A body in the first response would be read as the beginning of the second response.
 		caller.send(request("GET", "/read/2", "r2"));
 		CPPUNIT_ASSERT_EQUAL(std::string("fine"), caller.receive().body());
 	}
 
-	void repeatable_lost_answer_is_tried_elsewhere()
+	void repeatable_request_with_lost_response_is_retried_elsewhere()
 	{
 		set_routes();
 		add_backend("b1").script = {{"", true}};
@@ -99,7 +103,7 @@
 		CPPUNIT_ASSERT_EQUAL(200U, first.result_int());
 	}
 
-	void payment_lost_answer_is_never_sent_again()
+	void at_most_once_request_with_lost_response_is_never_retried()
 	{
 		set_routes();
 		add_backend("b1").script = {{"", true}, {"", true}};
@@ -114,7 +118,7 @@
 		    "HTTP/1.1 503 X\r\nLarkrack-Request-Id: {id}\r\nLarkrack-Shed: 1\r\nContent-Length: 0\r\n\r\n"};
 	}
 
-	void payment_shed_is_tried_elsewhere()
+	void at_most_once_request_that_is_shed_is_retried_elsewhere()
 	{
 		set_routes();
 		add_backend("b1").script = {shed()};
@@ -129,7 +133,7 @@
 		CPPUNIT_ASSERT_EQUAL(4, served);
 	}
 
-	void payment_shed_everywhere_is_refused_with_a_time_to_come_back()
+	void at_most_once_request_shed_by_all_is_refused_with_retry_after()
 	{
 		set_routes();
 		add_backend("b1").script = {shed(), shed()};
@@ -140,7 +144,7 @@
 		CPPUNIT_ASSERT(pause > 0.0 && pause < 1.0);
 	}
 
-	void payment_at_a_taken_address_is_tried_elsewhere()
+	void at_most_once_request_with_status_421_is_retried_elsewhere()
 	{
 		set_routes();
 		const scripted_backend::step wrong{
@@ -151,7 +155,7 @@
 		CPPUNIT_ASSERT_EQUAL(200U, ask(request("POST", "/pay/1", "r1", "", "x")).result_int());
 	}
 
-	void answer_of_another_request_is_passed_over()
+	void response_to_another_request_is_skipped()
 	{
 		set_routes();
 		add_backend("b1").script = {{"HTTP/1.1 200 X\r\nLarkrack-Request-Id: other\r\nLarkrack-Signature: "
@@ -160,7 +164,7 @@
 		CPPUNIT_ASSERT_EQUAL(std::string("right"), ask(request("POST", "/pay/1", "r1", "", "x")).body());
 	}
 
-	void answer_with_surplus_ends_the_connection()
+	void response_with_extra_bytes_closes_the_connection()
 	{
 		set_routes();
 		scripted_backend& backend = add_backend("b1");
@@ -170,7 +174,7 @@
 		CPPUNIT_ASSERT_EQUAL(2, backend.connections);
 	}
 
-	void answer_without_length_closed_is_whole()
+	void response_without_length_ended_by_close_is_complete()
 	{
 		set_routes();
 		add_backend("b1").script = {
@@ -180,7 +184,7 @@
 		CPPUNIT_ASSERT_EQUAL(std::string("5"), std::string(response[http::field::content_length]));
 	}
 
-	void answer_without_length_reset_is_lost()
+	void response_without_length_ended_by_reset_is_lost()
 	{
 		set_routes();
 		add_backend("b1").script = {
@@ -189,7 +193,7 @@
 		CPPUNIT_ASSERT_EQUAL(502U, ask(request("POST", "/pay/1", "r1", "", "x")).result_int());
 	}
 
-	void answer_cut_short_is_never_passed_on()
+	void truncated_response_is_never_passed_on()
 	{
 		set_routes();
 		const std::string whole = scripted_backend::answer("a long answer");
@@ -197,17 +201,17 @@
 		CPPUNIT_ASSERT_EQUAL(502U, ask(request("POST", "/pay/1", "r1", "", "x")).result_int());
 	}
 
-	void answer_that_is_no_http_is_never_passed_on()
+	void invalid_http_response_is_never_passed_on()
 	{
 		set_routes();
 		add_backend("b1").script = {{"garbage\r\n\r\nmore garbage"}};
 		CPPUNIT_ASSERT_EQUAL(502U, ask(request("POST", "/pay/1", "r1", "", "x")).result_int());
 	}
 
-	void answer_before_the_body_was_read_ends_the_connection()
+	void response_before_the_whole_request_was_sent_closes_the_connection()
 	{
 		set_routes();
-		// The request is larger than what loopback takes at once; the answer comes after its head.
+		// The request is larger than the buffers of loopback; the response comes after its header.
 		asio::io_context& context = *m_context;
 		tcp::acceptor acceptor(context, tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0));
 		backend_record record;
@@ -247,7 +251,7 @@
 		    2, routes(1)->routes(), std::vector<routed_service>{{"shop", 0, 0.0}}, limits);
 	}
 
-	void caller_leaves_work_is_cancelled()
+	void caller_disconnect_cancels_the_work_of_the_backend_server()
 	{
 		set_routes();
 		scripted_backend& backend = add_backend("b1");
@@ -278,7 +282,7 @@
 		CPPUNIT_ASSERT_EQUAL(std::string("s"), std::string(response["Larkrack-Signature"]));
 	}
 
-	void all_slots_taken_request_is_refused_early()
+	void request_with_all_slots_taken_is_refused_before_its_deadline()
 	{
 		set_routes();
 		add_backend("b1", 1).script = {{"", false, false, true}};
@@ -292,12 +296,12 @@
 		const steady_time begin = m_clock.steady();
 		const caller_response response = ask(request("GET", "/read/1", "r2"));
 		CPPUNIT_ASSERT_EQUAL(503U, response.result_int());
-		// A quarter of the objective, and time for a busy host.
+		// The wait for a slot is a quarter of the objective; the rest is allowance for a busy host.
 		CPPUNIT_ASSERT(m_clock.steady() - begin < std::chrono::milliseconds(1400));
 		CPPUNIT_ASSERT_EQUAL(std::size_t(1), m_backends[0]->requests.size());
 	}
 
-	void slot_freed_waiting_request_is_sent()
+	void waiting_request_is_sent_when_a_slot_becomes_free()
 	{
 		set_routes();
 		add_backend("b1", 1);
@@ -314,9 +318,9 @@
 		CPPUNIT_ASSERT_EQUAL(200U, waiting.receive().result_int());
 	}
 
-	void retry_budget_spent_no_more_retries()
+	void retry_budget_used_up_stops_retries()
 	{
-		m_fleet.nodes = 1000; // No slack for this node.
+		m_fleet.nodes = 1000; // Leaves this node no share of the slack.
 		set_routes();
 		add_backend("b1").script.assign(20, {"", true});
 		add_backend("b2").script.assign(20, {"", true});
@@ -329,14 +333,14 @@
 		CPPUNIT_ASSERT(m_forwarder->counters().retries_denied > 0);
 	}
 
-	void older_configuration_is_not_taken()
+	void older_configuration_is_ignored()
 	{
 		set_routes(7);
 		m_forwarder->set_routes(routes(6));
 		CPPUNIT_ASSERT_EQUAL(std::uint64_t(7), m_forwarder->routes()->version());
 	}
 
-	void stopping_node_refuses_new_requests_and_ends_the_others()
+	void stopping_node_refuses_new_requests_and_completes_the_others()
 	{
 		set_routes();
 		scripted_backend& backend = add_backend("b1");
--- a/tests/leaving_requests_test.cpp
+++ b/tests/leaving_requests_test.cpp
@@ -2,7 +2,8 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Backend servers that say beside an answer that they leave, while their entry says nothing of it.
+/// Backend servers that announce their shutdown in the headers of a response, while their registry entry says
+/// that they are ready.
 
 #include "entry_fixture.h"
 
@@ -11,14 +12,14 @@
 class leaving_requests_test : public entry_fixture
 {
 	CPPUNIT_TEST_SUITE(leaving_requests_test);
-	CPPUNIT_TEST(backend_server_that_says_so_gets_no_later_request_whatever_its_entry_says);
-	CPPUNIT_TEST(word_is_heard_beside_answers_that_are_not_passed_on);
-	CPPUNIT_TEST(word_holds_through_a_lost_entry_and_ends_with_the_life_of_the_backend_server);
-	CPPUNIT_TEST(request_in_the_queue_goes_to_another_one);
+	CPPUNIT_TEST(leaving_backend_server_gets_no_later_request_even_if_its_entry_says_ready);
+	CPPUNIT_TEST(leaving_header_is_read_from_responses_that_are_not_passed_on);
+	CPPUNIT_TEST(leaving_state_survives_a_lost_entry_and_ends_with_a_restart);
+	CPPUNIT_TEST(queued_request_goes_to_another_backend_server);
 	CPPUNIT_TEST_SUITE_END();
 
 protected:
-	static constexpr const char* k_word = "Larkrack-Leaving: 1\r\n";
+	static constexpr const char* k_leaving_header = "Larkrack-Leaving: 1\r\n";
 
 	backend_record record_of(const std::string& _id, std::int64_t _born_ms = 0)
 	{
@@ -36,17 +37,16 @@
 		return m_registry->find(backend_id(_id))->accepts_new_requests();
 	}
 
-	/// Guards against requests to a backend server that has said in its own answers that it leaves.
-	void backend_server_that_says_so_gets_no_later_request_whatever_its_entry_says()
+	/// Guards against new requests to a backend server that has announced its shutdown in its own responses.
+	void leaving_backend_server_gets_no_later_request_even_if_its_entry_says_ready()
 	{
 		set_routes();
 		scripted_backend& leaving = add_backend("b1");
-		leaving.usual.bytes = scripted_backend::answer("bye", 200, k_word);
+		leaving.usual.bytes = scripted_backend::answer("bye", 200, k_leaving_header);
 		const caller_response last = ask(request("GET", "/read/1", "r0"));
 		CPPUNIT_ASSERT_EQUAL(std::string("bye"), last.body());
-		CPPUNIT_ASSERT_EQUAL(
-		    std::string("1"), std::string(last["Larkrack-Leaving"])); // Passed on as it came.
-		m_registry->put(record_of("b1"), m_clock.steady());           // Its entry says ready.
+		CPPUNIT_ASSERT_EQUAL(std::string("1"), std::string(last["Larkrack-Leaving"])); // Passed on unchanged.
+		m_registry->put(record_of("b1"), m_clock.steady()); // The entry says ready.
 		add_backend("b2");
 		for (int i = 1; i < 20; ++i)
 		{
@@ -57,16 +57,16 @@
 		CPPUNIT_ASSERT_EQUAL(std::size_t(1), leaving.requests.size());
 	}
 
-	void word_is_heard_beside_answers_that_are_not_passed_on()
+	void leaving_header_is_read_from_responses_that_are_not_passed_on()
 	{
 		set_routes();
-		const std::string late = "HTTP/1.1 200 X\r\nLarkrack-Request-Id: old\r\n" + std::string(k_word) +
-		                         "Content-Length: 0\r\n\r\n";
+		const std::string late = "HTTP/1.1 200 X\r\nLarkrack-Request-Id: old\r\n" +
+		                         std::string(k_leaving_header) + "Content-Length: 0\r\n\r\n";
 		const std::vector<scripted_backend::step> answers = {
-		    {scripted_backend::answer("", 503, std::string("Larkrack-Shed: 1\r\n") + k_word)},
-		    {scripted_backend::answer("", 500, k_word)},
+		    {scripted_backend::answer("", 503, std::string("Larkrack-Shed: 1\r\n") + k_leaving_header)},
+		    {scripted_backend::answer("", 500, k_leaving_header)},
 		    {late + scripted_backend::answer("fine")},
-		    {"HTTP/1.1 200 X\r\nLarkrack-Request-Id: {id}\r\n" + std::string(k_word) +
+		    {"HTTP/1.1 200 X\r\nLarkrack-Request-Id: {id}\r\n" + std::string(k_leaving_header) +
 		            "Content-Length: 9\r\n\r\npart",
 		        true},
 		};
@@ -77,12 +77,12 @@
 			ask(request("GET", "/read/1", "r" + std::to_string(i)));
 			CPPUNIT_ASSERT_MESSAGE(id, !accepts(id));
 		}
-		add_backend("other").script = {{scripted_backend::answer("", 421, k_word)}};
+		add_backend("other").script = {{scripted_backend::answer("", 421, k_leaving_header)}};
 		ask(request("GET", "/read/1", "r9"));
-		CPPUNIT_ASSERT(accepts("other")); // Another backend server has said it.
+		CPPUNIT_ASSERT(accepts("other")); // The response is from another backend server.
 	}
 
-	void word_holds_through_a_lost_entry_and_ends_with_the_life_of_the_backend_server()
+	void leaving_state_survives_a_lost_entry_and_ends_with_a_restart()
 	{
 		set_routes();
 		add_backend("unused");
@@ -95,7 +95,7 @@
 		CPPUNIT_ASSERT(accepts("b1"));
 	}
 
-	void request_in_the_queue_goes_to_another_one()
+	void queued_request_goes_to_another_backend_server()
 	{
 		set_routes();
 		scripted_backend& leaving = add_backend("b1", 1);
--- a/tests/limited_requests_test.cpp
+++ b/tests/limited_requests_test.cpp
@@ -2,7 +2,8 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Requests to backend servers that name a limit: tokens, waits for them, and where a request goes without.
+/// Requests to backend servers that report a rate limit: tokens, waits for tokens, and what happens to
+/// requests that get no token.
 
 #include "entry_fixture.h"
 
@@ -11,60 +12,60 @@
 class limited_requests_test : public entry_fixture
 {
 	CPPUNIT_TEST_SUITE(limited_requests_test);
-	CPPUNIT_TEST(answer_with_the_header_sets_the_limit_and_one_without_ends_it);
-	CPPUNIT_TEST(answer_of_another_server_or_a_refusal_without_the_header_ends_no_limit);
-	CPPUNIT_TEST(request_that_waited_is_sent_when_its_token_comes);
-	CPPUNIT_TEST(request_whose_token_does_not_come_goes_to_another_backend_server);
+	CPPUNIT_TEST(response_with_the_header_sets_the_limit_and_a_response_without_it_ends_it);
+	CPPUNIT_TEST(response_of_another_server_or_a_refusal_without_the_header_keeps_the_limit);
+	CPPUNIT_TEST(waiting_request_is_sent_when_its_token_is_granted);
+	CPPUNIT_TEST(request_refused_a_token_goes_to_another_backend_server);
 	CPPUNIT_TEST(request_without_a_token_and_without_another_backend_server_is_refused_at_once);
-	CPPUNIT_TEST(token_that_comes_after_the_caller_left_is_given_back);
-	CPPUNIT_TEST(backend_server_that_starts_again_has_no_limit);
+	CPPUNIT_TEST(token_granted_after_the_caller_disconnected_is_returned);
+	CPPUNIT_TEST(restarted_backend_server_has_no_limit);
 	CPPUNIT_TEST_SUITE_END();
 
 protected:
-	backend_server& state_of(const std::string& _id)
+	backend_server& find_backend(const std::string& _id)
 	{
 		return *m_registry->find(backend_id(_id));
 	}
 
-	scripted_backend& add_limited(const std::string& _id)
+	scripted_backend& add_limited_backend(const std::string& _id)
 	{
 		scripted_backend& backend = add_backend(_id);
 		backend.usual.bytes = scripted_backend::answer("limited", 200, "Larkrack-Limit: 2.9\r\n");
-		state_of(_id).limit.hear({2.9, m_clock.steady()});
+		find_backend(_id).limit.hear({2.9, m_clock.steady()});
 		return backend;
 	}
 
-	void answer_with_the_header_sets_the_limit_and_one_without_ends_it()
+	void response_with_the_header_sets_the_limit_and_a_response_without_it_ends_it()
 	{
 		set_routes();
 		scripted_backend& backend = add_backend("b1");
 		backend.script = {{scripted_backend::answer("fine", 200, "Larkrack-Limit: 2.9\r\n")},
 		    {scripted_backend::answer("fine", 200, "Larkrack-Limit: many\r\n")}};
 		ask(request("GET", "/read/1", "r1"));
-		CPPUNIT_ASSERT_EQUAL(2.9, *state_of("b1").limit.word().per_s);
+		CPPUNIT_ASSERT_EQUAL(2.9, *find_backend("b1").limit.word().per_s);
 		ask(request("GET", "/read/1", "r2"));
-		CPPUNIT_ASSERT(state_of("b1").limit.limited()); // What can't be read changes nothing.
+		CPPUNIT_ASSERT(find_backend("b1").limit.limited()); // An invalid value changes nothing.
 		ask(request("GET", "/read/1", "r3"));
-		CPPUNIT_ASSERT(!state_of("b1").limit.limited());
+		CPPUNIT_ASSERT(!find_backend("b1").limit.limited());
 	}
 
-	void answer_of_another_server_or_a_refusal_without_the_header_ends_no_limit()
+	void response_of_another_server_or_a_refusal_without_the_header_keeps_the_limit()
 	{
 		set_routes();
-		scripted_backend& backend = add_limited("b1");
-		for (const char* turned_away : {"421 X\r\n", "503 X\r\nLarkrack-Shed: 1\r\n"})
+		scripted_backend& backend = add_limited_backend("b1");
+		for (const char* refusal : {"421 X\r\n", "503 X\r\nLarkrack-Shed: 1\r\n"})
 		{
-			backend.script = {{std::string("HTTP/1.1 ") + turned_away +
+			backend.script = {{std::string("HTTP/1.1 ") + refusal +
 			                   "Larkrack-Request-Id: {id}\r\nContent-Length: 0\r\n\r\n"}};
 			ask(request("GET", "/read/1", "r1"));
-			CPPUNIT_ASSERT(state_of("b1").limit.limited());
+			CPPUNIT_ASSERT(find_backend("b1").limit.limited());
 		}
 	}
 
-	void request_that_waited_is_sent_when_its_token_comes()
+	void waiting_request_is_sent_when_its_token_is_granted()
 	{
 		set_routes();
-		add_limited("b1");
+		add_limited_backend("b1");
 		m_limits.answer = quota_answer::waits;
 		raw_caller caller = call();
 		caller.send(request("GET", "/read/1", "r1"));
@@ -78,10 +79,10 @@
 		CPPUNIT_ASSERT_EQUAL(std::string("limited"), caller.receive().body());
 	}
 
-	void request_whose_token_does_not_come_goes_to_another_backend_server()
+	void request_refused_a_token_goes_to_another_backend_server()
 	{
 		set_routes();
-		add_limited("b1");
+		add_limited_backend("b1");
 		raw_caller caller = call();
 		m_limits.answer = quota_answer::waits;
 		caller.send(request("GET", "/read/1", "r1"));
@@ -99,7 +100,7 @@
 	void request_without_a_token_and_without_another_backend_server_is_refused_at_once()
 	{
 		set_routes();
-		add_limited("b1");
+		add_limited_backend("b1");
 		m_limits.answer = quota_answer::over;
 		const caller_response refused = ask(request("GET", "/read/1", "r1"));
 		CPPUNIT_ASSERT_EQUAL(503U, refused.result_int());
@@ -107,10 +108,10 @@
 		CPPUNIT_ASSERT_EQUAL(std::uint64_t(0), m_forwarder->counters().queued);
 	}
 
-	void token_that_comes_after_the_caller_left_is_given_back()
+	void token_granted_after_the_caller_disconnected_is_returned()
 	{
 		set_routes();
-		add_limited("b1");
+		add_limited_backend("b1");
 		m_limits.answer = quota_answer::waits;
 		raw_caller caller = call();
 		caller.send(request("GET", "/read/1", "r1"));
@@ -130,15 +131,15 @@
 		CPPUNIT_ASSERT(m_backends[0]->requests.empty());
 	}
 
-	void backend_server_that_starts_again_has_no_limit()
+	void restarted_backend_server_has_no_limit()
 	{
-		add_limited("b1");
+		add_limited_backend("b1");
 		backend_record record;
-		static_cast<backend_registration&>(record) = state_of("b1").registered;
+		static_cast<backend_registration&>(record) = find_backend("b1").registered;
 		record.address = m_backends[0]->address();
 		record.born_ms = 5;
 		m_registry->put(record, m_clock.steady());
-		CPPUNIT_ASSERT(!state_of("b1").limit.limited());
+		CPPUNIT_ASSERT(!find_backend("b1").limit.limited());
 	}
 };
 
--- a/tests/resting_backend_test.cpp
+++ b/tests/resting_backend_test.cpp
@@ -2,7 +2,8 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Backend servers that turn requests away and ask the node for rest, and nine nodes whose callers go on.
+/// Backend servers that shed requests and ask for a pause (Retry-After), and nine nodes whose callers keep
+/// sending.
 
 #include "node_group_fixture.h"
 
@@ -12,17 +13,17 @@
 {
 using ms = std::chrono::milliseconds;
 
-constexpr ms k_rest{1500};     ///< That the resting backend servers ask for, beside each answer.
-constexpr ms k_under_way{500}; ///< Requests that come so soon after the word were on their way.
-constexpr std::size_t k_allowed{
-    2}; ///< Requests of one node to one backend server in what is left of the rest.
-constexpr ms k_pause{4};
-constexpr ms k_played{4000};
-constexpr std::size_t k_objects = 47; ///< Each belongs to one backend server.
+constexpr ms k_requested_pause{1500}; ///< Retry-After in each response of the pausing backend servers.
+constexpr ms k_in_transit{500};       ///< Requests this soon after such a response were already in transit.
+/// Maximum requests of one node to one backend server in the remaining time of a pause.
+constexpr std::size_t k_max_requests{2};
+constexpr ms k_request_interval{4};
+constexpr ms k_test_duration{4000};
+constexpr std::size_t k_affinity_keys = 47; ///< Each key belongs to one backend server.
 constexpr std::size_t k_servers = 6;
-constexpr std::size_t k_resting = 2; ///< Of them.
+constexpr std::size_t k_pausing_servers = 2; ///< The first of k_servers.
 
-/// @returns When requests of one node reached a backend server.
+/// @returns Arrival times of the requests of one node at a backend server.
 std::vector<steady_time> arrivals_from(const scripted_backend& _backend, std::size_t _node)
 {
 	std::vector<steady_time> times;
@@ -36,14 +37,14 @@
 	return times;
 }
 
-/// @returns The most requests that came within the rest which any of them had been answered with.
-std::size_t most_in_rest(const std::vector<steady_time>& _arrivals)
+/// @returns The maximum number of requests that arrived within the pause that one of them was answered with.
+std::size_t max_requests_in_pause(const std::vector<steady_time>& _arrivals)
 {
 	std::size_t most = 0;
 	for (const steady_time answered : _arrivals)
 	{
-		const auto first = std::upper_bound(_arrivals.begin(), _arrivals.end(), answered + k_under_way);
-		const auto last = std::upper_bound(_arrivals.begin(), _arrivals.end(), answered + k_rest);
+		const auto first = std::upper_bound(_arrivals.begin(), _arrivals.end(), answered + k_in_transit);
+		const auto last = std::upper_bound(_arrivals.begin(), _arrivals.end(), answered + k_requested_pause);
 		most = std::max(most, static_cast<std::size_t>(last - first));
 	}
 	return most;
@@ -53,12 +54,12 @@
 class resting_backend_test : public CppUnit::TestFixture
 {
 	CPPUNIT_TEST_SUITE(resting_backend_test);
-	CPPUNIT_TEST(backend_server_that_asks_a_node_for_rest_gets_two_requests_of_it_at_most);
+	CPPUNIT_TEST(pausing_backend_server_gets_at_most_two_requests_of_a_node);
 	CPPUNIT_TEST_SUITE_END();
 
 protected:
-	/// Guards against a word of a backend server beside an answer that no part of a node takes up.
-	void backend_server_that_asks_a_node_for_rest_gets_two_requests_of_it_at_most()
+	/// Guards against a pause that a backend server asks for in a response and that the node ignores.
+	void pausing_backend_server_gets_at_most_two_requests_of_a_node()
 	{
 		asio::io_context context(1);
 		const clock_system clock;
@@ -68,7 +69,7 @@
 		{
 			scripted_backend& server = servers.emplace_back(context);
 			records.push_back(record_of("b" + std::to_string(i), server));
-			if (i < k_resting)
+			if (i < k_pausing_servers)
 			{
 				server.usual.bytes =
 				    scripted_backend::answer("", 503, "Larkrack-Shed: 1\r\nRetry-After: 1.5\r\n");
@@ -76,7 +77,7 @@
 		}
 		node_group nodes(context, clock, records);
 		std::deque<raw_caller> callers;
-		const steady_time until = clock.steady() + k_played;
+		const steady_time until = clock.steady() + k_test_duration;
 		for (std::size_t sent = 0; clock.steady() < until; ++sent)
 		{
 			const std::size_t node = sent % k_group_nodes;
@@ -85,21 +86,21 @@
 			                    " HTTP/1.1\r\nHost: shop.example\r\nLarkrack-Request-Id: r" +
 			                    std::to_string(sent) +
 			                    "\r\nLarkrack-Deadline-Ms: 1500\r\nCookie: Larkrack-Affinity=" +
-			                    std::to_string(sent % k_objects) + "\r\n\r\n");
-			context.run_for(k_pause);
+			                    std::to_string(sent % k_affinity_keys) + "\r\n\r\n");
+			context.run_for(k_request_interval);
 			nodes.at(node).tick();
 		}
 		std::size_t most = 0;
-		for (std::size_t i = 0; i < k_resting; ++i)
+		for (std::size_t i = 0; i < k_pausing_servers; ++i)
 		{
 			CPPUNIT_ASSERT(!servers[i].requests.empty());
 			for (std::size_t node = 0; node < k_group_nodes; ++node)
 			{
-				most = std::max(most, most_in_rest(arrivals_from(servers[i], node)));
+				most = std::max(most, max_requests_in_pause(arrivals_from(servers[i], node)));
 			}
 		}
-		CPPUNIT_ASSERT_MESSAGE(
-		    std::to_string(most) + " requests of a node while a backend server rested", most <= k_allowed);
+		CPPUNIT_ASSERT_MESSAGE(std::to_string(most) + " requests of a node while a backend server rested",
+		    most <= k_max_requests);
 	}
 };
 
--- a/tests/resting_requests_test.cpp
+++ b/tests/resting_requests_test.cpp
@@ -2,8 +2,8 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Requests to backend servers that ask for rest or say that they leave, at one node: by which paths one
-/// could still reach them, and what a caller gets when all that could serve it rest.
+/// Requests to backend servers that ask one node for a pause (Retry-After): that no request reaches them on
+/// any path during the pause, and which response a caller gets when all candidates pause.
 
 #include "entry_fixture.h"
 
@@ -15,8 +15,9 @@
 {
 using ms = std::chrono::milliseconds;
 
-/// An answer that turns a request away.
-std::string turned_away(const std::string& _more)
+/// @returns A response that sheds the request.
+/// @param[in] _more Further header lines.
+std::string shed_response(const std::string& _more)
 {
 	return scripted_backend::answer("", 503, "Larkrack-Shed: 1\r\n" + _more);
 }
@@ -26,28 +27,28 @@
 {
 	CPPUNIT_TEST_SUITE(resting_requests_test);
 	CPPUNIT_TEST(turned_away_request_is_sent_elsewhere_and_later_ones_go_there_at_once);
-	CPPUNIT_TEST(all_resting_is_told_at_once_with_the_time_of_the_first_return);
-	CPPUNIT_TEST(short_rest_is_waited_for_and_the_request_sent_when_it_ends);
-	CPPUNIT_TEST(request_in_the_queue_is_not_sent_when_its_only_backend_server_rests);
-	CPPUNIT_TEST(request_that_waited_for_a_token_is_not_sent_and_the_token_given_back);
-	CPPUNIT_TEST(request_whose_connection_comes_up_in_a_rest_is_sent_elsewhere);
-	CPPUNIT_TEST(look_of_a_blocked_request_is_given_back_when_all_rest);
-	CPPUNIT_TEST(word_is_heard_beside_each_kind_of_answer);
-	CPPUNIT_TEST(word_is_heard_beside_a_late_answer_to_another_request);
-	CPPUNIT_TEST(word_is_heard_that_crosses_a_leaving_caller_or_the_deadline);
-	CPPUNIT_TEST(word_of_another_backend_server_or_status_is_none);
-	CPPUNIT_TEST(rest_holds_through_a_lost_entry_and_ends_with_the_life_of_the_backend_server);
-	CPPUNIT_TEST(rest_holds_through_a_new_configuration_and_counts_a_suspension);
+	CPPUNIT_TEST(all_resting_refuses_at_once_with_the_time_of_the_first_return);
+	CPPUNIT_TEST(request_waits_for_the_end_of_a_short_pause);
+	CPPUNIT_TEST(queued_request_is_refused_when_its_only_backend_server_pauses);
+	CPPUNIT_TEST(request_with_a_late_token_is_not_sent_in_a_pause_and_returns_the_token);
+	CPPUNIT_TEST(request_whose_connection_is_established_in_a_pause_is_sent_elsewhere);
+	CPPUNIT_TEST(trial_of_a_blocked_request_is_returned_when_all_pause);
+	CPPUNIT_TEST(pause_is_read_from_each_kind_of_response);
+	CPPUNIT_TEST(pause_is_read_from_a_late_response_to_another_request);
+	CPPUNIT_TEST(pause_is_read_from_a_response_after_a_disconnect_or_the_deadline);
+	CPPUNIT_TEST(pause_of_another_backend_server_or_status_is_ignored);
+	CPPUNIT_TEST(pause_survives_a_lost_entry_and_ends_with_a_restart);
+	CPPUNIT_TEST(pause_survives_a_new_configuration_and_includes_a_suspension);
 	CPPUNIT_TEST_SUITE_END();
 
 protected:
-	backend_server& state_of(const std::string& _id)
+	backend_server& find_backend(const std::string& _id)
 	{
 		return *m_registry->find(backend_id(_id));
 	}
-	void rest(const std::string& _id, ms _time)
+	void set_pause(const std::string& _id, ms _time)
 	{
-		state_of(_id).rest.hear(_time, m_clock.steady());
+		find_backend(_id).rest.hear(_time, m_clock.steady());
 	}
 
 	void turned_away_request_is_sent_elsewhere_and_later_ones_go_there_at_once()
@@ -57,7 +58,7 @@
 		{
 			const std::string id = route == std::string("/read/") ? "r" : "p";
 			scripted_backend& first = add_backend(id + "1");
-			first.usual.bytes = turned_away("Retry-After: 30\r\n");
+			first.usual.bytes = shed_response("Retry-After: 30\r\n");
 			for (int i = 0; i < 20; ++i)
 			{
 				add_backend(id + "2");
@@ -69,35 +70,35 @@
 		}
 	}
 
-	/// Guards against callers that wait for what is known not to come.
-	void all_resting_is_told_at_once_with_the_time_of_the_first_return()
+	/// Guards against callers that wait in the queue although no backend server can become available in time.
+	void all_resting_refuses_at_once_with_the_time_of_the_first_return()
 	{
 		set_routes();
 		scripted_backend& one = add_backend("b1");
 		add_backend("b2");
 		ask(request("GET", "/read/1", "r0"));
 		const std::size_t before = one.requests.size() + m_backends[1]->requests.size();
-		rest("b1", ms(5000));
-		rest("b2", ms(3000));
+		set_pause("b1", ms(5000));
+		set_pause("b2", ms(3000));
 		const steady_time began = m_clock.steady();
 		const caller_response answer = ask(request("GET", "/read/1", "r1"));
-		CPPUNIT_ASSERT(m_clock.steady() - began < ms(40)); // The longest wait for a slot.
+		CPPUNIT_ASSERT(m_clock.steady() - began < ms(40)); // Below the longest wait for a slot.
 		CPPUNIT_ASSERT_EQUAL(503U, answer.result_int());
 		const double back_s = std::stod(std::string(answer[http::field::retry_after]));
 		CPPUNIT_ASSERT(back_s > 2.9 && back_s < 3.0 + k_retry_after_last_s);
 		CPPUNIT_ASSERT_EQUAL(before, one.requests.size() + m_backends[1]->requests.size());
 	}
 
-	void short_rest_is_waited_for_and_the_request_sent_when_it_ends()
+	void request_waits_for_the_end_of_a_short_pause()
 	{
 		set_routes();
 		scripted_backend& backend = add_backend("b1");
-		backend.script = {{turned_away("Retry-After: 0.03\r\n")}};
+		backend.script = {{shed_response("Retry-After: 0.03\r\n")}};
 		CPPUNIT_ASSERT_EQUAL(503U, ask(request("GET", "/read/1", "r1")).result_int());
 		CPPUNIT_ASSERT_EQUAL(200U, ask(request("GET", "/read/1", "r2")).result_int());
 	}
 
-	void request_in_the_queue_is_not_sent_when_its_only_backend_server_rests()
+	void queued_request_is_refused_when_its_only_backend_server_pauses()
 	{
 		set_routes();
 		scripted_backend& backend = add_backend("b1", 1);
@@ -116,17 +117,17 @@
 		    {
 			    return 1 == m_forwarder->counters().queued;
 		    });
-		rest("b1", ms(3000));
+		set_pause("b1", ms(3000));
 		m_forwarder->pump();
 		CPPUNIT_ASSERT_EQUAL(503U, second.receive().result_int());
 		CPPUNIT_ASSERT_EQUAL(std::size_t(1), backend.requests.size());
 	}
 
-	void request_that_waited_for_a_token_is_not_sent_and_the_token_given_back()
+	void request_with_a_late_token_is_not_sent_in_a_pause_and_returns_the_token()
 	{
 		set_routes();
 		scripted_backend& backend = add_backend("b1");
-		state_of("b1").limit.hear({2.9, m_clock.steady()});
+		find_backend("b1").limit.hear({2.9, m_clock.steady()});
 		m_limits.answer = quota_answer::waits;
 		raw_caller caller = call();
 		caller.send(request("GET", "/read/1", "r1"));
@@ -135,14 +136,14 @@
 		    {
 			    return nullptr != m_limits.waiting;
 		    });
-		rest("b1", ms(3000));
+		set_pause("b1", ms(3000));
 		std::exchange(m_limits.waiting, nullptr)(quota_answer::granted);
 		CPPUNIT_ASSERT_EQUAL(503U, caller.receive().result_int());
 		CPPUNIT_ASSERT_EQUAL(1, m_limits.given_back);
 		CPPUNIT_ASSERT(backend.requests.empty());
 	}
 
-	void request_whose_connection_comes_up_in_a_rest_is_sent_elsewhere()
+	void request_whose_connection_is_established_in_a_pause_is_sent_elsewhere()
 	{
 		set_routes();
 		scripted_backend& backend = add_backend("b1");
@@ -154,19 +155,19 @@
 			    return 1 == m_forwarder->counters().attempts;
 		    });
 		CPPUNIT_ASSERT(backend.requests.empty());
-		rest("b1", ms(3000));
+		set_pause("b1", ms(3000));
 		scripted_backend& other = add_backend("b2");
 		CPPUNIT_ASSERT_EQUAL(200U, caller.receive().result_int());
 		CPPUNIT_ASSERT(backend.requests.empty());
 		CPPUNIT_ASSERT_EQUAL(std::size_t(1), other.requests.size());
-		CPPUNIT_ASSERT(!state_of("b1").ejection.ejected(m_clock.steady()));
+		CPPUNIT_ASSERT(!find_backend("b1").ejection.ejected(m_clock.steady()));
 	}
 
-	void look_of_a_blocked_request_is_given_back_when_all_rest()
+	void trial_of_a_blocked_request_is_returned_when_all_pause()
 	{
 		set_routes();
 		scripted_backend& backend = add_backend("b1");
-		rest("b1", ms(3000));
+		set_pause("b1", ms(3000));
 		m_crashes.decision = block_decision::may_ask;
 		raw_caller caller = call();
 		caller.send(request("GET", "/read/1", "r1"));
@@ -177,36 +178,38 @@
 		    });
 		std::exchange(m_crashes.waiting, nullptr)(true);
 		CPPUNIT_ASSERT_EQUAL(503U, caller.receive().result_int());
-		CPPUNIT_ASSERT_EQUAL(1, m_crashes.looks_returned);
+		CPPUNIT_ASSERT_EQUAL(1, m_crashes.trials_returned);
 		CPPUNIT_ASSERT(backend.requests.empty());
 	}
 
-	void word_is_heard_beside_each_kind_of_answer()
+	void pause_is_read_from_each_kind_of_response()
 	{
 		set_routes();
-		const std::string word = "Retry-After: 30\r\n";
+		const std::string pause_header = "Retry-After: 30\r\n";
 		const std::string first_line = "HTTP/1.1 503 X\r\nLarkrack-Request-Id: {id}\r\n";
 		const std::vector<scripted_backend::step> answers = {
-		    {turned_away(word)},                                 // Kept connection.
-		    {turned_away(word + "Connection: close\r\n"), true}, // Its last answer.
-		    {scripted_backend::answer("no", 503, word)},         // It ran, and failed.
-		    {turned_away("Retry-After: soon\r\n" + word)},       // The header stands twice.
-		    {turned_away(word + "Retry-After: 0\r\n")},          // See above.
-		    {first_line + "Larkrack-Shed: 1\r\n" + word + "Content-Length: 9\r\n\r\npart",
-		        true},                                                             // Broken off.
-		    {first_line + "Larkrack-Shed: 1\r\n" + word + "\r\nto the end", true}, // No length.
+		    {shed_response(pause_header)},                                 // The connection is kept.
+		    {shed_response(pause_header + "Connection: close\r\n"), true}, // The connection is closed.
+		    {scripted_backend::answer("no", 503, pause_header)},           // The request ran and failed.
+		    {shed_response(
+		        "Retry-After: soon\r\n" + pause_header)}, // Two Retry-After headers, the first one invalid.
+		    {shed_response(pause_header + "Retry-After: 0\r\n")}, // Two headers: the longest pause counts.
+		    {first_line + "Larkrack-Shed: 1\r\n" + pause_header + "Content-Length: 9\r\n\r\npart",
+		        true}, // Truncated.
+		    {first_line + "Larkrack-Shed: 1\r\n" + pause_header + "\r\nto the end",
+		        true}, // Without a length.
 		};
 		for (std::size_t i = 0; i < answers.size(); ++i)
 		{
 			const std::string id = "b" + std::to_string(i);
 			add_backend(id).script = {answers[i]};
 			ask(request("GET", "/read/1", "r" + std::to_string(i)));
-			CPPUNIT_ASSERT_MESSAGE(id, state_of(id).rest.resting(m_clock.steady() + ms(29000)));
+			CPPUNIT_ASSERT_MESSAGE(id, find_backend(id).rest.resting(m_clock.steady() + ms(29000)));
 			m_registry->remove(backend_id(id), m_clock.steady());
 		}
 	}
 
-	void word_is_heard_beside_a_late_answer_to_another_request()
+	void pause_is_read_from_a_late_response_to_another_request()
 	{
 		set_routes();
 		add_backend("b1").script = {
@@ -214,11 +217,12 @@
 		     "Content-Length: 0\r\n\r\n" +
 		        scripted_backend::answer("fine")}};
 		CPPUNIT_ASSERT_EQUAL(std::string("fine"), ask(request("GET", "/read/1", "r1")).body());
-		CPPUNIT_ASSERT(state_of("b1").rest.resting(m_clock.steady() + ms(29000)));
+		CPPUNIT_ASSERT(find_backend("b1").rest.resting(m_clock.steady() + ms(29000)));
 	}
 
-	/// Guards against a rest that was asked of the node while it had just given the exchange up.
-	void word_is_heard_that_crosses_a_leaving_caller_or_the_deadline()
+	/// Guards against a lost pause: the node has just cancelled the exchange when the response with the pause
+	/// arrives.
+	void pause_is_read_from_a_response_after_a_disconnect_or_the_deadline()
 	{
 		set_routes();
 		for (const bool leaves : {true, false})
@@ -247,20 +251,20 @@
 			{
 				CPPUNIT_ASSERT_EQUAL(504U, caller.receive().result_int());
 			}
-			CPPUNIT_ASSERT_EQUAL(0, state_of(id).load.in_flight);
-			backend.answer_held("HTTP/1.1 503 X\r\nLarkrack-Request-Id: r1\r\nLarkrack-Shed: 1\r\n"
-			                    "Retry-After: 30\r\nContent-Length: 0\r\n\r\n");
+			CPPUNIT_ASSERT_EQUAL(0, find_backend(id).load.in_flight);
+			backend.respond_to_held("HTTP/1.1 503 X\r\nLarkrack-Request-Id: r1\r\nLarkrack-Shed: 1\r\n"
+			                        "Retry-After: 30\r\nContent-Length: 0\r\n\r\n");
 			run_until(*m_context,
 			    [&]
 			    {
 				    return 1 == backend.closed_by_peer;
 			    });
-			CPPUNIT_ASSERT_MESSAGE(id, state_of(id).rest.resting(m_clock.steady()));
+			CPPUNIT_ASSERT_MESSAGE(id, find_backend(id).rest.resting(m_clock.steady()));
 			m_registry->remove(backend_id(id), m_clock.steady());
 		}
 	}
 
-	void word_of_another_backend_server_or_status_is_none()
+	void pause_of_another_backend_server_or_status_is_ignored()
 	{
 		set_routes();
 		for (const unsigned status : {421U, 429U, 200U, 500U})
@@ -270,13 +274,13 @@
 			    status < 429U && status > 400U ? "Larkrack-Shed: 1\r\nRetry-After: 30\r\n"
 			                                   : "Retry-After: 30\r\n");
 			ask(request("GET", "/read/1", "r" + std::to_string(status)));
-			CPPUNIT_ASSERT_MESSAGE(id, !state_of(id).rest.resting(m_clock.steady()));
+			CPPUNIT_ASSERT_MESSAGE(id, !find_backend(id).rest.resting(m_clock.steady()));
 			m_registry->remove(backend_id(id), m_clock.steady());
 		}
 	}
 
-	/// Guards against a word that is forgotten with the entry, while the backend server lives on.
-	void rest_holds_through_a_lost_entry_and_ends_with_the_life_of_the_backend_server()
+	/// Guards against a pause that is forgotten with a lost entry, while the backend server is still running.
+	void pause_survives_a_lost_entry_and_ends_with_a_restart()
 	{
 		backend_record record;
 		record.id = backend_id("b1");
@@ -284,26 +288,26 @@
 		record.service = service_name("shop");
 		record.domain = domain_name("east-a");
 		m_registry->put(record, m_clock.steady());
-		rest("b1", ms(3000));
+		set_pause("b1", ms(3000));
 		m_registry->remove(record.id, m_clock.steady());
 		m_registry->put(record, m_clock.steady());
-		CPPUNIT_ASSERT(state_of("b1").rest.resting(m_clock.steady()));
-		CPPUNIT_ASSERT(!state_of("b1").usable(m_clock.steady()));
+		CPPUNIT_ASSERT(find_backend("b1").rest.resting(m_clock.steady()));
+		CPPUNIT_ASSERT(!find_backend("b1").usable(m_clock.steady()));
 		m_registry->remove(record.id, m_clock.steady());
-		record.born_ms = 2000; // It has started again.
+		record.born_ms = 2000; // Restarted.
 		m_registry->put(record, m_clock.steady());
-		CPPUNIT_ASSERT(state_of("b1").usable(m_clock.steady()));
-		record.id = backend_id("b2"); // Another one at the same address.
+		CPPUNIT_ASSERT(find_backend("b1").usable(m_clock.steady()));
+		record.id = backend_id("b2"); // Another backend server at the same address.
 		m_registry->put(record, m_clock.steady());
-		CPPUNIT_ASSERT(state_of("b2").usable(m_clock.steady()));
+		CPPUNIT_ASSERT(find_backend("b2").usable(m_clock.steady()));
 	}
 
-	void rest_holds_through_a_new_configuration_and_counts_a_suspension()
+	void pause_survives_a_new_configuration_and_includes_a_suspension()
 	{
 		set_routes();
 		scripted_backend& backend = add_backend("b1");
 		ask(request("GET", "/read/1", "r0"));
-		rest("b1", ms(3000));
+		set_pause("b1", ms(3000));
 		set_routes(2);
 		CPPUNIT_ASSERT_EQUAL(503U, ask(request("GET", "/read/1", "r1")).result_int());
 		CPPUNIT_ASSERT_EQUAL(std::size_t(1), backend.requests.size());
--- a/tests/rollout_requests_test.cpp
+++ b/tests/rollout_requests_test.cpp
@@ -2,7 +2,7 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Requests of a service that rolls a version out: where they go, and what is told of their ends.
+/// Requests of a service during a roll-out: which version they go to, and which attempts are reported.
 
 #include "entry_fixture.h"
 
@@ -12,11 +12,11 @@
 {
 	CPPUNIT_TEST_SUITE(rollout_requests_test);
 	CPPUNIT_TEST(exposed_request_goes_to_the_target);
-	CPPUNIT_TEST(other_request_stays_clear_of_the_target);
-	CPPUNIT_TEST(exposed_request_that_failed_is_sent_again_to_the_others);
-	CPPUNIT_TEST(exposed_request_without_a_target_is_not_kept_waiting);
-	CPPUNIT_TEST(time_of_a_cold_backend_server_is_no_evidence);
-	CPPUNIT_TEST(request_that_the_backend_server_did_not_run_is_no_evidence);
+	CPPUNIT_TEST(other_request_avoids_the_target);
+	CPPUNIT_TEST(exposed_request_that_failed_is_retried_on_the_other_versions);
+	CPPUNIT_TEST(exposed_request_without_a_target_goes_to_the_other_versions_at_once);
+	CPPUNIT_TEST(response_time_of_a_cold_backend_server_is_not_reported);
+	CPPUNIT_TEST(request_that_the_backend_server_did_not_run_is_not_reported);
 	CPPUNIT_TEST_SUITE_END();
 
 protected:
@@ -38,13 +38,13 @@
 		set_up_versions(version_side::target);
 		CPPUNIT_ASSERT_EQUAL(200U, ask(request("POST", "/pay/1", "r1", "", "x")).result_int());
 		CPPUNIT_ASSERT_EQUAL(std::size_t(1), requests_of(1));
-		CPPUNIT_ASSERT_EQUAL(std::size_t(1), m_rollouts.ends.size());
-		const version_attempt& end = m_rollouts.ends.front();
+		CPPUNIT_ASSERT_EQUAL(std::size_t(1), m_rollouts.attempts.size());
+		const version_attempt& end = m_rollouts.attempts.front();
 		CPPUNIT_ASSERT(version_name("v2") == end.version && "pay" == end.route);
 		CPPUNIT_ASSERT(!end.failed && end.time);
 	}
 
-	void other_request_stays_clear_of_the_target()
+	void other_request_avoids_the_target()
 	{
 		set_up_versions(version_side::others);
 		for (int i = 0; i < 5; ++i)
@@ -55,19 +55,20 @@
 		CPPUNIT_ASSERT_EQUAL(std::size_t(0), requests_of(1));
 	}
 
-	void exposed_request_that_failed_is_sent_again_to_the_others()
+	void exposed_request_that_failed_is_retried_on_the_other_versions()
 	{
 		set_up_versions(version_side::target);
 		m_backends[1]->script = {{scripted_backend::answer("bad", 500)}};
 		CPPUNIT_ASSERT_EQUAL(200U, ask(request("GET", "/read/1", "r1")).result_int());
 		CPPUNIT_ASSERT_EQUAL(std::size_t(1), requests_of(0));
 		CPPUNIT_ASSERT_EQUAL(std::size_t(1), requests_of(1));
-		CPPUNIT_ASSERT_EQUAL(std::size_t(2), m_rollouts.ends.size());
-		CPPUNIT_ASSERT(m_rollouts.ends[0].failed && version_name("v2") == m_rollouts.ends[0].version);
-		CPPUNIT_ASSERT(!m_rollouts.ends[1].failed && version_name("v1") == m_rollouts.ends[1].version);
+		CPPUNIT_ASSERT_EQUAL(std::size_t(2), m_rollouts.attempts.size());
+		CPPUNIT_ASSERT(m_rollouts.attempts[0].failed && version_name("v2") == m_rollouts.attempts[0].version);
+		CPPUNIT_ASSERT(
+		    !m_rollouts.attempts[1].failed && version_name("v1") == m_rollouts.attempts[1].version);
 	}
 
-	void exposed_request_without_a_target_is_not_kept_waiting()
+	void exposed_request_without_a_target_goes_to_the_other_versions_at_once()
 	{
 		set_routes();
 		add_backend("old", 3, "v1");
@@ -76,21 +77,21 @@
 		CPPUNIT_ASSERT_EQUAL(std::size_t(1), requests_of(0));
 	}
 
-	void time_of_a_cold_backend_server_is_no_evidence()
+	void response_time_of_a_cold_backend_server_is_not_reported()
 	{
 		set_up_versions(version_side::target);
 		m_registry->find(backend_id("new"))->cold_until = m_clock.steady() + std::chrono::seconds(60);
 		CPPUNIT_ASSERT_EQUAL(200U, ask(request("GET", "/read/1", "r1")).result_int());
-		CPPUNIT_ASSERT(!m_rollouts.ends.at(0).time && !m_rollouts.ends.at(0).failed);
+		CPPUNIT_ASSERT(!m_rollouts.attempts.at(0).time && !m_rollouts.attempts.at(0).failed);
 	}
 
-	void request_that_the_backend_server_did_not_run_is_no_evidence()
+	void request_that_the_backend_server_did_not_run_is_not_reported()
 	{
 		set_up_versions(version_side::target);
 		m_backends[1]->script = {{scripted_backend::answer("full", 503, "Larkrack-Shed: 1\r\n")}};
 		CPPUNIT_ASSERT_EQUAL(200U, ask(request("GET", "/read/1", "r1")).result_int());
-		CPPUNIT_ASSERT_EQUAL(std::size_t(1), m_rollouts.ends.size());
-		CPPUNIT_ASSERT(version_name("v1") == m_rollouts.ends[0].version);
+		CPPUNIT_ASSERT_EQUAL(std::size_t(1), m_rollouts.attempts.size());
+		CPPUNIT_ASSERT(version_name("v1") == m_rollouts.attempts[0].version);
 	}
 };
 
