--- a/src/entry_node/backend_limits.cpp
+++ b/src/entry_node/backend_limits.cpp
@@ -12,30 +12,32 @@
 {
 namespace
 {
-/// Milliseconds for which a request waits for a token, at most: a question to another region and back takes
-/// 70. Longer: callers wait in vain. Shorter: tokens of other regions come too late.
-constexpr std::chrono::milliseconds k_longest_ask{100};
-/// Milliseconds between two times that a region is told of one limit, at least, and for each of its nodes.
-/// Shorter: more datagrams about a limit that changes with each answer.
-constexpr std::chrono::milliseconds k_told_again{500};
-constexpr std::chrono::milliseconds k_told_again_per_node{2}; ///< See above.
-/// A region is told of a limit once that differs from what was told by this part, no unit. Lower: more
-/// datagrams. Higher: nodes that send little believe in an older limit until their next answer.
-constexpr double k_told_change = 0.2;
+/// Maximum time that a request waits for a token: a round trip to another region takes 70 ms. A longer wait
+/// delays callers in vain; with a shorter one, tokens of other regions arrive too late.
+constexpr std::chrono::milliseconds k_max_token_wait{100};
+/// Minimum time between two announcements of one limit to a region. The interval is at least
+/// k_announce_interval, and at least k_announce_interval_per_node for each node of the region. Shorter
+/// intervals send more datagrams about a limit that changes with each response.
+constexpr std::chrono::milliseconds k_announce_interval{500};
+constexpr std::chrono::milliseconds k_announce_interval_per_node{2}; ///< See above.
+/// Relative change from the announced limit above which a limit is announced again (no unit). A lower value
+/// sends more datagrams; with a higher one, nodes with few requests use an outdated limit until their next
+/// response.
+constexpr double k_announced_change = 0.2;
 
-std::chrono::milliseconds tell_pause(std::size_t _nodes)
+std::chrono::milliseconds announce_interval(std::size_t _nodes)
 {
-	return std::max(k_told_again, k_told_again_per_node * static_cast<std::int64_t>(_nodes));
+	return std::max(k_announce_interval, k_announce_interval_per_node * static_cast<std::int64_t>(_nodes));
 }
 
-/// @returns Whether a limit is far from what was told.
-bool differs(const std::optional<double>& _told, const std::optional<double>& _now)
+/// @returns Whether a limit differs noticeably from the announced one.
+bool differs(const std::optional<double>& _announced, const std::optional<double>& _now)
 {
-	if (_told.has_value() != _now.has_value())
+	if (_announced.has_value() != _now.has_value())
 	{
 		return true;
 	}
-	return _now && std::abs(*_now - *_told) > k_told_change * *_told;
+	return _now && std::abs(*_now - *_announced) > k_announced_change * *_announced;
 }
 } // namespace
 
@@ -44,7 +46,7 @@
     entry_log& _log, sender _send)
     : m_region(_placement.region), m_clock(_clock), m_fleet(_fleet), m_backends(_backends), m_log(_log),
       m_send(std::move(_send)),
-      m_tokens(_context, _clock, k_limit_bounds, k_longest_ask, _fleet, node_name(_placement.node), *this)
+      m_tokens(_context, _clock, k_limit_bounds, k_max_token_wait, _fleet, node_name(_placement.node), *this)
 {
 }
 
@@ -58,7 +60,7 @@
 	quota_answer answer = m_tokens.take(*subject);
 	if (quota_answer::waits == answer && 0 == holders_of(subject->id).first.name_hash)
 	{
-		answer = quota_answer::unknown; // No node of its region is in sight.
+		answer = quota_answer::unknown; // No node of the backend server's region is reachable.
 	}
 	m_refused += quota_answer::over == answer || quota_answer::unknown == answer ? 1 : 0;
 	return answer;
@@ -84,7 +86,7 @@
 
 std::optional<quota_subject> backend_limits::find_subject(std::uint64_t _id) const
 {
-	const backend_server* backend = m_backends.find_life(static_cast<std::uint32_t>(_id));
+	const backend_server* backend = m_backends.find_instance(static_cast<std::uint32_t>(_id));
 	if (nullptr == backend || !backend->limit.limited())
 	{
 		return std::nullopt;
@@ -94,14 +96,14 @@
 
 quota_holders backend_limits::holders_of(std::uint64_t _id) const
 {
-	const backend_server* backend = m_backends.find_life(static_cast<std::uint32_t>(_id));
+	const backend_server* backend = m_backends.find_instance(static_cast<std::uint32_t>(_id));
 	return nullptr == backend ? quota_holders()
 	                          : m_fleet.holders_in(backend->region, ring_place(backend->id_hash));
 }
 
-bool backend_limits::lends(std::uint32_t _life) const
+bool backend_limits::is_lender(std::uint32_t _instance) const
 {
-	const quota_holder lender = holders_of(_life).first;
+	const quota_holder lender = holders_of(_instance).first;
 	return 0 != lender.name_hash && lender.ip.empty();
 }
 
@@ -110,16 +112,16 @@
 	limit_message message;
 	if (const auto* request = std::get_if<quota_request>(&_message))
 	{
-		message.life = static_cast<std::uint32_t>(request->customer);
+		message.instance = static_cast<std::uint32_t>(request->customer);
 		message.tokens = *request;
 	}
 	else
 	{
 		const auto& grant = std::get<quota_grant>(_message);
-		message.life = static_cast<std::uint32_t>(grant.customer);
+		message.instance = static_cast<std::uint32_t>(grant.customer);
 		message.tokens = grant;
 	}
-	if (const backend_server* backend = m_backends.find_life(message.life))
+	if (const backend_server* backend = m_backends.find_instance(message.instance))
 	{
 		message.word = backend->limit.word();
 		m_send(encode(message, m_clock.steady()), _ip);
@@ -128,19 +130,19 @@
 
 void backend_limits::on_word(backend_server& _backend, const limit_word& _word)
 {
-	if (!take_word(_backend, _word))
+	if (!apply_limit(_backend, _word))
 	{
 		return;
 	}
 	const quota_holder lender = holders_of(_backend.id_hash).first;
 	if (!lender.ip.empty())
 	{
-		send_word(_backend, lender.ip);
+		send_limit(_backend, lender.ip);
 	}
-	tell_others(_backend);
+	announce_limit(_backend);
 }
 
-bool backend_limits::take_word(backend_server& _backend, const limit_word& _word)
+bool backend_limits::apply_limit(backend_server& _backend, const limit_word& _word)
 {
 	const limit_word before = _backend.limit.word();
 	if (!_backend.limit.hear(_word))
@@ -166,65 +168,65 @@
 	                .decimal("limit_per_s", now.per_s.value_or(0.0)));
 }
 
-bool backend_limits::tells(std::uint32_t _life) const
+bool backend_limits::is_announcer(std::uint32_t _instance) const
 {
-	const quota_holder teller = m_fleet.holders_in(m_region, ring_place(_life)).first;
-	return 0 != teller.name_hash && teller.ip.empty();
+	const quota_holder announcer = m_fleet.holders_in(m_region, ring_place(_instance)).first;
+	return 0 != announcer.name_hash && announcer.ip.empty();
 }
 
-void backend_limits::tell_others(const backend_server& _backend)
+void backend_limits::announce_limit(const backend_server& _backend)
 {
-	if (!tells(_backend.id_hash))
+	if (!is_announcer(_backend.id_hash))
 	{
 		return;
 	}
-	const std::vector<std::string> neighbours = m_fleet.region_addresses();
-	told_word& told = m_told[_backend.id_hash];
+	const std::vector<std::string> region_addresses = m_fleet.region_addresses();
+	announced_limit& announced = m_announced[_backend.id_hash];
 	const steady_time now = m_clock.steady();
 	const std::optional<double>& per_s = _backend.limit.word().per_s;
-	if (!differs(told.per_s, per_s) || now - told.at < tell_pause(neighbours.size()))
+	if (!differs(announced.per_s, per_s) || now - announced.at < announce_interval(region_addresses.size()))
 	{
-		return; // tick() looks again.
+		return; // tick() checks again.
 	}
-	told = {per_s, now};
-	for (const std::string& ip : neighbours)
+	announced = {per_s, now};
+	for (const std::string& ip : region_addresses)
 	{
-		send_word(_backend, ip);
+		send_limit(_backend, ip);
 	}
-	if (!lends(_backend.id_hash))
+	if (!is_lender(_backend.id_hash))
 	{
 		return;
 	}
 	for (const region_name& region : m_backends.regions())
 	{
-		const quota_holder teller = m_fleet.holders_in(region, ring_place(_backend.id_hash)).first;
-		if (!teller.ip.empty())
+		const quota_holder announcer = m_fleet.holders_in(region, ring_place(_backend.id_hash)).first;
+		if (!announcer.ip.empty())
 		{
-			send_word(_backend, teller.ip);
+			send_limit(_backend, announcer.ip);
 		}
 	}
 }
 
-void backend_limits::send_word(const backend_server& _backend, const std::string& _ip)
+void backend_limits::send_limit(const backend_server& _backend, const std::string& _ip)
 {
 	m_send(encode(limit_message{_backend.id_hash, _backend.limit.word(), {}}, m_clock.steady()), _ip);
 }
 
 void backend_limits::on_message(const limit_message& _message, const std::string& _sender_ip)
 {
-	backend_server* backend = m_backends.find_life(_message.life);
+	backend_server* backend = m_backends.find_instance(_message.instance);
 	if (nullptr == backend)
 	{
-		return; // Its entry is not known here yet.
+		return; // This node does not know the backend server's registry entry yet.
 	}
-	if (take_word(*backend, _message.word))
+	if (apply_limit(*backend, _message.word))
 	{
-		tell_others(*backend);
+		announce_limit(*backend);
 	}
 	const auto* request = std::get_if<quota_request>(&_message.tokens);
 	if (nullptr != request && !backend->limit.limited())
 	{
-		answer_unlimited(*backend, *request, _sender_ip);
+		grant_unlimited(*backend, *request, _sender_ip);
 	}
 	else if (nullptr != request)
 	{
@@ -236,7 +238,7 @@
 	}
 }
 
-void backend_limits::answer_unlimited(
+void backend_limits::grant_unlimited(
     const backend_server& _backend, const quota_request& _request, const std::string& _ip)
 {
 	const quota_grant grant{_backend.id_hash, _request.wanted, {}};
@@ -247,15 +249,16 @@
 {
 	const nodes_in_sight nodes = m_fleet.in_sight_of_region();
 	m_tokens.tick({lending_nodes(nodes.live, nodes.most), nodes.most, nodes.version});
-	for (auto it = m_told.begin(); it != m_told.end();)
+	for (auto it = m_announced.begin(); it != m_announced.end();)
 	{
-		const backend_server* backend = m_backends.find_life(it->first);
-		if (nullptr == backend || !tells(it->first) || (!it->second.per_s && !backend->limit.limited()))
+		const backend_server* backend = m_backends.find_instance(it->first);
+		if (nullptr == backend || !is_announcer(it->first) ||
+		    (!it->second.per_s && !backend->limit.limited()))
 		{
-			it = m_told.erase(it);
+			it = m_announced.erase(it);
 			continue;
 		}
-		tell_others(*backend);
+		announce_limit(*backend);
 		++it;
 	}
 }
--- a/src/entry_node/backend_limits_p.h
+++ b/src/entry_node/backend_limits_p.h
@@ -2,19 +2,21 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Limits that backend servers name beside their answers: which words hold, who is told of them, and tokens
-/// for the requests of this node.
+/// Rate limits that backend servers report in response headers: which reported limit is valid, which nodes
+/// are informed of a change, and the tokens for requests of this node.
 ///
-/// Owns the exchange of tokens, the log of limits, and at the node that lends a limit what its region was
-/// told of it. Relies on the requests to hand in what was said, on backend_registry for the words that hold,
-/// on the fleet for who lends, and on entry_node to send datagrams, to hand in those that come, and to call
-/// tick().
+/// Owns the token exchange, the log of limits and, on the node that informs a region of a limit, the value
+/// that was last announced there. Relies on the requests to pass in reported limits, on backend_registry for
+/// the limit that is currently valid, on the fleet view for the node that lends tokens, and on entry_node to
+/// send datagrams, to pass in received datagrams and to call tick().
 ///
-/// A node that hears a new word tells the lender. That one tells its region, and in each other region the
-/// node that would lend there, which tells it on. So a limit holds before each node has sent a request of its
-/// own, and its end is known while nodes pause. Whoever missed a word hears it with the next answer of the
-/// backend server or of the lender. A new word costs a datagram for each node, from one node of each region,
-/// and comes the more rarely the more nodes there are (tell_pause()).
+/// A node that receives a new limit from a backend server informs the lender of that limit. The lender
+/// informs the nodes of its own region and, in each other region, the node that would be the lender there;
+/// that node informs its region in turn. A limit is therefore known before each node has sent a request of
+/// its own, and the end of a limit is known also to nodes that send no requests. A node that missed an
+/// announcement receives the limit with the next response of the backend server or of the lender. A new limit
+/// costs one datagram for each node, sent by one node of each region, and the more nodes a region has, the
+/// less often it is announced (announce_interval()).
 #pragma once
 
 #include "entry_node/backend_registry_p.h"
@@ -25,22 +27,22 @@
 
 namespace larkrack
 {
-/// What requests ask about limits, and tell of them.
+/// Interface by which requests take tokens for limited backend servers and report their limits.
 class limit_gate_base : public limit_tokens_base
 {
 public:
 	using handler = token_exchange::handler;
 
-	/// Waits for a token, after take() has told so.
-	/// @param[in] _decided Called once, at once or later, and never with quota_answer::waits.
+	/// Waits for a token, after take() has returned quota_answer::waits.
+	/// @param[in] _decided Called exactly once, immediately or later, never with quota_answer::waits.
 	virtual void wait_for_token(const backend_state& _backend, handler _decided) = 0;
-	/// Takes back the token of a request that did not go there.
+	/// Returns the token of a request that was not sent to the backend server.
 	virtual void give_back(const backend_state& _backend) = 0;
-	/// Takes what a backend server said of its limit beside an answer to this node.
+	/// Processes the limit that a backend server reported with a response to this node.
 	virtual void on_word(backend_server& _backend, const limit_word& _word) = 0;
 };
 
-/// Limits over all nodes.
+/// Limits of backend servers, shared by all nodes.
 class backend_limits : public limit_gate_base, private token_owner_base
 {
 public:
@@ -53,50 +55,53 @@
 	void wait_for_token(const backend_state& _backend, handler _decided) override;
 	void give_back(const backend_state& _backend) override;
 	void on_word(backend_server& _backend, const limit_word& _word) override;
-	/// Takes a message of another node.
+	/// Processes a message of another node.
 	void on_message(const limit_message& _message, const std::string& _sender_ip);
-	/// Call it at a steady interval.
+	/// Must be called periodically.
 	void tick();
 	/// See token_exchange::wake().
 	void wake()
 	{
 		m_tokens.wake();
 	}
-	/// @returns Requests that a limit has kept from a backend server since the start.
+	/// @returns Number of requests that were not sent to a backend server because of its limit, since the
+	/// start.
 	std::uint64_t refused() const
 	{
 		return m_refused;
 	}
 
 private:
-	/// What the region was told last of a limit.
-	struct told_word
+	/// Limit that was last announced to the region.
+	struct announced_limit
 	{
-		std::optional<double> per_s;
+		std::optional<double> per_s; ///< Requests a second; nothing: no limit.
 		steady_time at{};
 	};
 
 	std::optional<quota_subject> find_subject(std::uint64_t _id) const override;
 	quota_holders holders_of(std::uint64_t _id) const override;
-	/// @returns Whether this node is the first lender of a life's limit.
-	bool lends(std::uint32_t _life) const;
-	/// @returns Whether this node tells its region of a life's limit; the lender is the one of its region.
-	bool tells(std::uint32_t _life) const;
+	/// @returns Whether this node is the first lender of the limit of a backend server instance.
+	bool is_lender(std::uint32_t _instance) const;
+	/// @returns Whether this node announces the limit of a backend server instance to its region; in the
+	/// region of the backend server, that is the lender.
+	bool is_announcer(std::uint32_t _instance) const;
 	void send(const quota_message& _message, const std::string& _ip) override;
 	void on_refused(std::uint64_t) override
 	{
 		++m_refused;
 	}
-	/// Takes a word, and follows from it what a change of the limit needs.
-	/// @returns Whether it changes the limit.
-	bool take_word(backend_server& _backend, const limit_word& _word);
+	/// Applies a reported limit: logs a change and scales down the tokens at hand when the limit decreased.
+	/// @returns Whether the limit changed.
+	bool apply_limit(backend_server& _backend, const limit_word& _word);
 	void log_change(const backend_server& _backend, const limit_word& _before);
-	/// Tells this region, if that is this node's part, of a limit that is far from what was told; a lender
-	/// also those who tell the other regions.
-	void tell_others(const backend_server& _backend);
-	void answer_unlimited(
+	/// If this node is the announcer of its region, informs the region of a limit that differs noticeably
+	/// from the announced one. A lender informs the announcers of the other regions too.
+	void announce_limit(const backend_server& _backend);
+	/// Grants the tokens of a request for a backend server that reports no limit.
+	void grant_unlimited(
 	    const backend_server& _backend, const quota_request& _request, const std::string& _ip);
-	void send_word(const backend_server& _backend, const std::string& _ip);
+	void send_limit(const backend_server& _backend, const std::string& _ip);
 
 	region_name m_region; ///< Of this node.
 	const clock_base& m_clock;
@@ -105,7 +110,7 @@
 	entry_log& m_log;
 	sender m_send;
 	token_exchange m_tokens;
-	std::unordered_map<std::uint32_t, told_word> m_told; ///< By life.
+	std::unordered_map<std::uint32_t, announced_limit> m_announced; ///< By hash of the instance.
 	std::uint64_t m_refused = 0;
 };
 } // namespace larkrack
--- a/src/entry_node/backend_registry.cpp
+++ b/src/entry_node/backend_registry.cpp
@@ -39,7 +39,7 @@
 	idle_connections = static_cast<int>(m_idle.size());
 }
 
-backend_ptr backend_registry::begin_life(const backend_record& _record)
+backend_ptr backend_registry::add_instance(const backend_record& _record)
 {
 	auto backend = std::make_shared<backend_server>();
 	backend->id_hash = life_hash(_record);
@@ -50,7 +50,7 @@
 	return backend;
 }
 
-void backend_registry::end_life(backend_server& _backend)
+void backend_registry::remove_instance(backend_server& _backend)
 {
 	_backend.gone = true;
 	_backend.close_idle();
@@ -65,16 +65,16 @@
 	backend_ptr& backend = m_by_id[_record.id];
 	if (backend && entry_life::same != life_of_entry(backend->registered.born_ms, _record.born_ms))
 	{
-		end_life(*backend);
+		remove_instance(*backend);
 		backend.reset();
 	}
-	const bool begins = !backend;
-	if (begins)
+	const bool is_new = !backend;
+	if (is_new)
 	{
-		backend = begin_life(_record);
+		backend = add_instance(_record);
 	}
 	backend->registered = _record;
-	if (begins)
+	if (is_new)
 	{
 		m_lost.restore(*backend, _now);
 	}
@@ -82,7 +82,7 @@
 	backend->gone = false;
 	backend->evacuated =
 	    m_evacuated.end() != std::find(m_evacuated.begin(), m_evacuated.end(), _record.domain);
-	backend->cold_until = std::max(_now + _record.warmup_left, backend->reopened_until);
+	backend->cold_until = std::max(_now + _record.warmup_left, backend->evacuation_cold_until);
 }
 
 void backend_registry::remove(const backend_id& _id, steady_time _now)
@@ -93,7 +93,7 @@
 		return;
 	}
 	m_lost.keep(*it->second, _now);
-	end_life(*it->second);
+	remove_instance(*it->second);
 	m_by_id.erase(it);
 }
 
@@ -116,23 +116,23 @@
 		const auto warmup = m_warmup_times.find(backend->registered.service);
 		if (was_evacuated && !backend->evacuated && m_warmup_times.end() != warmup)
 		{
-			backend->reopened_until = _now + warmup->second;
-			backend->cold_until = std::max(backend->cold_until, backend->reopened_until);
+			backend->evacuation_cold_until = _now + warmup->second;
+			backend->cold_until = std::max(backend->cold_until, backend->evacuation_cold_until);
 		}
 	}
 }
 
 void backend_registry::set_in_flight_of_node(const node_name& _node, const in_flight_counts& _counts)
 {
-	const auto add = [this](const in_flight_counts& _some, int _sign)
+	const auto add = [this](const in_flight_counts& _node_counts, int _sign)
 	{
-		for (const in_flight_count& one : _some)
+		for (const in_flight_count& count : _node_counts)
 		{
-			const auto it = m_by_hash.find(one.id_hash);
+			const auto it = m_by_hash.find(count.id_hash);
 			if (m_by_hash.end() != it)
 			{
 				int& elsewhere = it->second->load.in_flight_elsewhere;
-				elsewhere = std::max(0, elsewhere + _sign * one.in_flight);
+				elsewhere = std::max(0, elsewhere + _sign * count.in_flight);
 			}
 		}
 	};
@@ -161,12 +161,12 @@
 
 const std::vector<backend_state*>& backend_registry::of_service(const service_name& _service) const
 {
-	static const std::vector<backend_state*> s_none;
+	static const std::vector<backend_state*> s_empty;
 	const auto it = m_by_service.find(_service);
-	return m_by_service.end() == it ? s_none : it->second;
+	return m_by_service.end() == it ? s_empty : it->second;
 }
 
-backend_server* backend_registry::find_life(std::uint32_t _hash) const
+backend_server* backend_registry::find_instance(std::uint32_t _hash) const
 {
 	const auto it = m_by_hash.find(_hash);
 	return m_by_hash.end() == it ? nullptr : it->second;
--- a/src/entry_node/backend_words.cpp
+++ b/src/entry_node/backend_words.cpp
@@ -20,33 +20,33 @@
 	}
 	if (_words.rest)
 	{
-		hear_rest(_backend, *_words.rest);
+		on_rest(_backend, *_words.rest);
 	}
 	if (_words.leaving)
 	{
-		hear_leaving(*_backend);
+		on_leaving(*_backend);
 	}
 }
 
-void backend_words::hear_rest(const backend_ptr& _backend, steady_time::duration _rest)
+void backend_words::on_rest(const backend_ptr& _backend, steady_time::duration _rest)
 {
 	++m_rests_asked;
 	const steady_time now = m_clock.steady();
-	const steady_time before = _backend->rest.until();
+	const steady_time previous_end = _backend->rest.until();
 	if (!_backend->rest.hear(_rest, now))
 	{
 		return;
 	}
-	const bool rested = m_resting.erase({before, _backend.get()}) > 0;
+	const bool was_resting = m_resting.erase({previous_end, _backend.get()}) > 0;
 	m_resting.emplace(rest_end{_backend->rest.until(), _backend.get()}, _backend);
-	if (!rested)
+	if (!was_resting)
 	{
 		log_rest(*_backend, "begins", to_ms(_rest));
 	}
-	wait_for_next();
+	schedule_next_end();
 }
 
-void backend_words::wait_for_next()
+void backend_words::schedule_next_end()
 {
 	if (m_resting.empty())
 	{
@@ -63,7 +63,7 @@
 	    });
 }
 
-void backend_words::hear_leaving(backend_server& _backend)
+void backend_words::on_leaving(backend_server& _backend)
 {
 	if (_backend.said_leaving)
 	{
@@ -84,7 +84,7 @@
 		m_resting.erase(m_resting.begin());
 		log_rest(*backend, "ends", std::chrono::milliseconds(0));
 	}
-	wait_for_next();
+	schedule_next_end();
 	m_on_rest_end();
 }
 
--- a/src/entry_node/backend_words_p.h
+++ b/src/entry_node/backend_words_p.h
@@ -2,11 +2,12 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// What follows when a backend server says something of itself beside an answer.
+/// Applies what backend servers report about themselves in response headers: a rate limit, a rest (a period
+/// in which the backend server wants no requests from this node) or its planned shutdown.
 ///
-/// Owns the log of rests and of backend servers that leave, and a timer for the next rest to end. Relies on
-/// upstream_exchange to hand in all words, on backend_limits for those of limits, and on the forwarder to let
-/// waiting requests try again when a rest ends.
+/// Owns the log of rests and of backend servers that shut down, and a timer for the next rest to end. Relies
+/// on upstream_exchange to pass in all reports, on backend_limits to process limits, and on the forwarder to
+/// retry waiting requests when a rest ends.
 #pragma once
 
 #include "entry_node/backend_limits_p.h"
@@ -17,34 +18,35 @@
 
 namespace larkrack
 {
-/// Hears backend servers for all requests of a node.
+/// Processes the reports of backend servers for all requests of a node.
 class backend_words : public answer_listener_base
 {
 public:
-	/// @param[in] _on_rest_end Called when a backend server takes requests again.
+	/// @param[in] _on_rest_end Called when a backend server accepts requests again.
 	backend_words(asio::io_context& _context, const clock_base& _clock, limit_gate_base& _limits,
 	    entry_log& _log, std::function<void()> _on_rest_end);
 
 	void on_words(const backend_ptr& _backend, const answer_words& _words) override;
-	/// @returns Backend servers that want no requests from this node now.
+	/// @returns Number of backend servers that currently want no requests from this node.
 	std::size_t resting() const
 	{
 		return m_resting.size();
 	}
-	/// @returns Answers that asked for rest, since the start.
+	/// @returns Number of responses that asked for a rest, since the start.
 	std::uint64_t rests_asked() const
 	{
 		return m_rests_asked;
 	}
 
 private:
-	/// By the end of the rest; the second part tells rests that end together apart.
+	/// End of a rest and its backend server, so that keys are unique when several rests end at once.
 	using rest_end = std::pair<steady_time, const backend_server*>;
 
-	void hear_rest(const backend_ptr& _backend, steady_time::duration _rest);
-	void hear_leaving(backend_server& _backend);
-	/// Waits for the next rest to end, if there is one.
-	void wait_for_next();
+	void on_rest(const backend_ptr& _backend, steady_time::duration _rest);
+	void on_leaving(backend_server& _backend);
+	/// Starts the timer for the next rest to end, if there is one.
+	void schedule_next_end();
+	/// Ends all rests that are over.
 	void end_rests();
 	void log_rest(const backend_server& _backend, const char* _state, std::chrono::milliseconds _rest);
 
--- a/src/entry_node/crash_guard.cpp
+++ b/src/entry_node/crash_guard.cpp
@@ -13,28 +13,30 @@
 {
 namespace
 {
-/// Time for which a request waits to be let through: a question to another region and back takes 70.
-constexpr std::chrono::milliseconds k_longest_question{150};
-/// Time from a message to the first time that it is sent again; each further one takes four times as long.
+/// Maximum time that a request waits for the grant of a trial: a round trip to another region takes 70 ms.
+constexpr std::chrono::milliseconds k_trial_timeout{150};
+/// Time from a message to its first repetition; the interval to the next one is four times as long.
 constexpr std::chrono::milliseconds k_first_repeat{400};
 constexpr int k_repeat_factor = 4;  ///< See above.
-constexpr int k_news_repeats = 2;   ///< Of what all nodes are told.
-constexpr int k_report_repeats = 1; ///< Of what those that count are told.
-/// Messages that are sent again later, at most: more requests end servers than can be told.
-constexpr std::size_t k_most_repeated = 2000;
-/// Backend servers that are probed at once, at most.
-constexpr std::size_t k_most_probes = 64;
-/// Requests of one end that are told of, at most.
-constexpr std::size_t k_most_told_requests = 64;
-/// Requests of one end that the log names, at most.
-constexpr std::size_t k_most_logged_requests = 16;
-/// Time after which a block that the store does not show is written again.
-constexpr std::chrono::seconds k_write_again{2};
-/// Blocks that are written again at one tick, at most.
-constexpr int k_most_written = 2;
-/// Blocks that stand in the store or are to, at most: more are told by datagrams alone.
-constexpr std::size_t k_most_stored = 512;
-/// Time for which the versions of a service are taken as known.
+constexpr int k_block_repeats = 2;  ///< Repetitions of messages to all nodes.
+constexpr int k_report_repeats = 1; ///< Repetitions of messages to the counting nodes.
+/// Maximum number of messages that wait for repetition. It is exceeded when requests crash backend servers
+/// faster than the crashes can be reported.
+constexpr std::size_t k_max_repeats = 2000;
+/// Maximum number of backend servers that are probed at the same time.
+constexpr std::size_t k_max_probes = 64;
+/// Maximum number of requests of one crash that are reported.
+constexpr std::size_t k_max_reported_requests = 64;
+/// Maximum number of requests of one crash that the log lists.
+constexpr std::size_t k_max_logged_requests = 16;
+/// Time after which a block that was not read back from the store is written again.
+constexpr std::chrono::seconds k_write_retry{2};
+/// Maximum number of blocks that are written again in one tick.
+constexpr int k_max_writes = 2;
+/// Maximum number of blocks that are in the store or waiting to be written; further ones are distributed by
+/// datagrams only.
+constexpr std::size_t k_max_stored = 512;
+/// Time for which the versions of a service are cached.
 constexpr std::chrono::seconds k_versions_kept{1};
 
 std::string hex_of(const request_fingerprint& _request)
@@ -45,14 +47,14 @@
 	return text;
 }
 
-/// @returns Whether a request has no body, so that it is known by its head alone.
+/// @returns Whether a request has no body, so that its head alone identifies it.
 bool has_no_body(const request_fingerprint& _request)
 {
 	return _request.head == _request.content;
 }
 
-/// @returns Place of a request of one caller among those that were served lately.
-std::uint64_t served_place(const request_fingerprint& _request)
+/// @returns Key of a request of one caller among the requests that were served recently.
+std::uint64_t served_key(const request_fingerprint& _request)
 {
 	return request_content_hash(
 	    _request.content, {reinterpret_cast<const char*>(&_request.caller), sizeof(_request.caller)});
@@ -63,26 +65,26 @@
     const backend_registry& _backends, const region_name& _region, entry_log& _log, sender _send,
     writer _write)
     : m_context(_context), m_clock(_clock), m_fleet(_fleet), m_backends(_backends), m_region(_region),
-      m_log(_log), m_send(std::move(_send)), m_write(std::move(_write)), m_question_timer(_context)
+      m_log(_log), m_send(std::move(_send)), m_write(std::move(_write)), m_trial_timer(_context)
 {
 }
 
 crash_guard::~crash_guard()
 {
-	for (auto& [life, doubtful] : m_doubtful)
+	for (auto& [instance, suspected] : m_suspected_crashes)
 	{
-		doubtful.probe->cancel();
+		suspected.probe->cancel();
 	}
 }
 
 bool crash_guard::concerns(std::uint64_t _head) const
 {
-	return m_blocked.may_match(_head) || (!m_seen.empty() && m_seen.suspects(_head));
+	return m_blocked.may_match(_head) || (!m_observed.empty() && m_observed.suspects(_head));
 }
 
 block_decision crash_guard::decide(const request_fingerprint& _request, const service_name& _service)
 {
-	if (nullptr == m_blocked.find(_request) || is_popular(_request))
+	if (nullptr == m_blocked.find(_request) || was_served_recently(_request))
 	{
 		return block_decision::open;
 	}
@@ -94,22 +96,22 @@
 void crash_guard::ask_for_look(
     const request_fingerprint& _request, const service_name& _service, look_handler _decided)
 {
-	const quota_holder counter = m_fleet.holders_of(_request.content).first;
+	const quota_holder counting_node = m_fleet.holders_of(_request.content).first;
 	const std::uint32_t versions = versions_of(_service);
-	if (counter.ip.empty())
+	if (counting_node.ip.empty())
 	{
 		_decided(grant_look(_request, versions).has_value());
 		return;
 	}
-	const auto [it, is_new] = m_questions.try_emplace(_request);
+	const auto [it, is_new] = m_pending_trials.try_emplace(_request);
 	if (!is_new)
 	{
-		_decided(false); // One question at a time, and one look.
+		_decided(false); // At most one trial of a request is pending at a time.
 		return;
 	}
-	it->second = {std::move(_decided), m_clock.steady() + k_longest_question};
-	m_question_timer.expires_after(k_longest_question);
-	m_question_timer.async_wait(
+	it->second = {std::move(_decided), m_clock.steady() + k_trial_timeout};
+	m_trial_timer.expires_after(k_trial_timeout);
+	m_trial_timer.async_wait(
 	    [this](boost::system::error_code _error)
 	    {
 		    if (!_error)
@@ -117,7 +119,7 @@
 			    wake();
 		    }
 	    });
-	send(look_request{_request, versions}, {counter.ip});
+	send(look_request{_request, versions}, {counting_node.ip});
 }
 
 std::optional<request_block> crash_guard::grant_look(
@@ -131,25 +133,25 @@
 	return granted;
 }
 
-void crash_guard::answer_look(const request_fingerprint& _request, bool _granted)
+void crash_guard::finish_trial(const request_fingerprint& _request, bool _granted)
 {
-	const auto it = m_questions.find(_request);
-	if (m_questions.end() == it)
+	const auto it = m_pending_trials.find(_request);
+	if (m_pending_trials.end() == it)
 	{
-		return; // The request does not wait any more; the look counts as made.
+		return; // The request does not wait any more; the trial counts as used.
 	}
 	const look_handler decided = std::move(it->second.decided);
-	m_questions.erase(it);
+	m_pending_trials.erase(it);
 	m_refused += _granted ? 0 : 1;
 	decided(_granted);
 }
 
 void crash_guard::on_look_returned(const request_fingerprint& _request)
 {
-	const quota_holder counter = m_fleet.holders_of(_request.content).first;
-	if (!counter.ip.empty())
+	const quota_holder counting_node = m_fleet.holders_of(_request.content).first;
+	if (!counting_node.ip.empty())
 	{
-		send(look_returned{_request}, {counter.ip});
+		send(look_returned{_request}, {counting_node.ip});
 		return;
 	}
 	if (const auto returned = m_blocked.return_look(_request, m_clock.steady()))
@@ -160,88 +162,90 @@
 
 void crash_guard::on_connection_broken(const backend_ptr& _backend, const request_fingerprint& _request)
 {
-	const std::uint32_t life = _backend->id_hash;
-	if (m_doubtful.end() == m_doubtful.find(life) && m_doubtful.size() >= k_most_probes)
+	const std::uint32_t instance = _backend->id_hash;
+	if (m_suspected_crashes.end() == m_suspected_crashes.find(instance) &&
+	    m_suspected_crashes.size() >= k_max_probes)
 	{
 		return;
 	}
-	doubtful_end& doubtful = m_doubtful[life];
-	if (doubtful.requests.size() < k_most_told_requests)
+	suspected_crash& suspected = m_suspected_crashes[instance];
+	if (suspected.requests.size() < k_max_reported_requests)
 	{
-		doubtful.requests.push_back(_request);
+		suspected.requests.push_back(_request);
 	}
-	if (doubtful.probe)
+	if (suspected.probe)
 	{
 		return;
 	}
-	doubtful.backend = _backend;
-	doubtful.probe = std::make_shared<crash_probe>(m_context, _backend,
-	    [this, life](bool _ended)
+	suspected.backend = _backend;
+	suspected.probe = std::make_shared<crash_probe>(m_context, _backend,
+	    [this, instance](bool _crashed)
 	    {
-		    on_probed(life, _ended);
+		    on_probed(instance, _crashed);
 	    });
-	doubtful.probe->start();
+	suspected.probe->start();
 }
 
-void crash_guard::on_probed(std::uint32_t _life, bool _ended)
+void crash_guard::on_probed(std::uint32_t _instance, bool _crashed)
 {
-	const auto it = m_doubtful.find(_life);
-	const doubtful_end doubtful = std::move(it->second);
-	m_doubtful.erase(it);
-	if (!_ended)
+	const auto it = m_suspected_crashes.find(_instance);
+	const suspected_crash suspected = std::move(it->second);
+	m_suspected_crashes.erase(it);
+	if (!_crashed)
 	{
 		return;
 	}
-	on_backend_ended(*doubtful.backend, doubtful.requests);
+	on_backend_crashed(*suspected.backend, suspected.requests);
 }
 
-void crash_guard::on_backend_ended(
+void crash_guard::on_backend_crashed(
     const backend_server& _backend, const std::vector<request_fingerprint>& _requests)
 {
-	std::string named;
-	for (std::size_t i = 0; i < std::min(_requests.size(), k_most_logged_requests); ++i)
+	std::string listed;
+	for (std::size_t i = 0; i < std::min(_requests.size(), k_max_logged_requests); ++i)
 	{
-		named += (0 == i ? "" : ",") + hex_of(_requests[i]);
+		listed += (0 == i ? "" : ",") + hex_of(_requests[i]);
 	}
 	m_log.write(log_line(event::backend_ended)
 	                .text("backend", _backend.registered.id.text)
 	                .text("service", _backend.registered.service.text)
 	                .number("requests", static_cast<std::int64_t>(_requests.size()))
-	                .text("named", named));
+	                .text("named", listed));
 	for (const request_fingerprint& request : _requests)
 	{
-		report_end(_backend.id_hash, request);
+		report_crash(_backend.id_hash, request);
 	}
 }
 
-void crash_guard::report_end(std::uint32_t _life, const request_fingerprint& _request)
+void crash_guard::report_crash(std::uint32_t _instance, const request_fingerprint& _request)
 {
-	if (is_popular(_request))
+	if (was_served_recently(_request))
 	{
 		return;
 	}
 	const steady_time now = m_clock.steady();
 	const bool caller_only = has_no_body(_request) && m_served.has(_request.content, now);
-	m_seen.on_end(_request, {_life, _request.caller, caller_only, now});
-	const end_report report{_request, _life, caller_only};
-	send_to_counters(report, _request);
+	m_observed.on_end(_request, {_instance, _request.caller, caller_only, now});
+	const end_report report{_request, _instance, caller_only};
+	send_to_counting_nodes(report, _request);
 	repeat(report, {}, k_report_repeats);
 }
 
 bool crash_guard::may_resend(const request_fingerprint& _request) const
 {
-	const auto doubtful = static_cast<std::size_t>(std::count_if(m_doubtful.begin(), m_doubtful.end(),
-	    [&_request](const auto& _one)
-	    {
-		    const std::vector<request_fingerprint>& requests = _one.second.requests;
-		    return requests.end() != std::find(requests.begin(), requests.end(), _request);
-	    }));
-	return m_seen.ends_of(_request) + doubtful < k_blamed_ends && nullptr == m_blocked.find(_request);
+	const auto suspected =
+	    static_cast<std::size_t>(std::count_if(m_suspected_crashes.begin(), m_suspected_crashes.end(),
+	        [&_request](const auto& _entry)
+	        {
+		        const std::vector<request_fingerprint>& requests = _entry.second.requests;
+		        return requests.end() != std::find(requests.begin(), requests.end(), _request);
+	        }));
+	return m_observed.ends_of(_request) + suspected < k_blamed_ends && nullptr == m_blocked.find(_request);
 }
 
-bool crash_guard::is_popular(const request_fingerprint& _request) const
+bool crash_guard::was_served_recently(const request_fingerprint& _request) const
 {
-	return has_no_body(_request) && m_served.has(served_place(_request), m_clock.steady());
+	return has_no_body(_request) && m_served.has(served_key(_request), m_clock.steady());
 }
 
 void crash_guard::on_answered(const request_fingerprint& _request)
@@ -249,21 +253,21 @@
 	if (has_no_body(_request))
 	{
 		m_served.note(_request.content, m_clock.steady());
-		m_served.note(served_place(_request), m_clock.steady());
+		m_served.note(served_key(_request), m_clock.steady());
 	}
 	if (!concerns(_request.head))
 	{
 		return;
 	}
-	const bool suspected = m_seen.ends_of(_request) > 0 || nullptr != m_blocked.find(_request);
-	m_seen.on_served(_request);
+	const bool suspected = m_observed.ends_of(_request) > 0 || nullptr != m_blocked.find(_request);
+	m_observed.on_served(_request);
 	if (suspected)
 	{
-		send_to_counters(served_report{_request}, _request);
+		send_to_counting_nodes(served_report{_request}, _request);
 	}
 }
 
-void crash_guard::count_end(const end_report& _report)
+void crash_guard::count_crash(const end_report& _report)
 {
 	const std::optional<request_fingerprint> blamed = m_counted.on_end(
 	    _report.request, {_report.life, _report.request.caller, _report.caller_only, m_clock.steady()});
@@ -289,48 +293,48 @@
 
 void crash_guard::block(const request_fingerprint& _request)
 {
-	request_block fresh;
-	fresh.request = _request;
-	const request_block* before = m_blocked.known(_request);
-	fresh.number = nullptr == before ? 1 : before->number + 1;
-	announce(fresh);
+	request_block new_block;
+	new_block.request = _request;
+	const request_block* previous = m_blocked.known(_request);
+	new_block.number = nullptr == previous ? 1 : previous->number + 1;
+	announce(new_block);
 }
 
 void crash_guard::announce(const request_block& _block)
 {
-	m_blocked.take(_block, m_clock.steady()); // A look that was granted stands there already.
+	m_blocked.take(_block, m_clock.steady()); // No change for a granted trial, which is recorded already.
 	on_block_changed(_block);
-	tell_region(_block);
+	send_to_region(_block);
 	const std::uint64_t place = _block.request.content;
-	std::set<std::string> tellers;
+	std::set<std::string> receivers;
 	for (const region_name& region : m_backends.regions())
 	{
 		const quota_holders holders = m_fleet.holders_in(region, place);
 		if (region != m_region)
 		{
-			tellers.insert({holders.first.ip, holders.stand_in.ip});
+			receivers.insert({holders.first.ip, holders.stand_in.ip});
 		}
 	}
-	tellers.erase(""); // None in sight.
-	const block_news news{_block, true};
-	const std::vector<std::string> addresses(tellers.begin(), tellers.end());
-	send(news, addresses);
-	repeat(news, addresses, k_news_repeats);
-	if (m_unwritten.size() < k_most_stored && m_blocked.size() < k_most_stored)
+	receivers.erase(""); // No node of the region is reachable.
+	const block_news update{_block, true};
+	const std::vector<std::string> addresses(receivers.begin(), receivers.end());
+	send(update, addresses);
+	repeat(update, addresses, k_block_repeats);
+	if (m_unwritten.size() < k_max_stored && m_blocked.size() < k_max_stored)
 	{
-		m_unwritten[_block.request] = {_block.number, m_clock.steady() + k_write_again};
+		m_unwritten[_block.request] = {_block.number, m_clock.steady() + k_write_retry};
 		m_write(_block);
 	}
-	object_if_popular(_block); // Last: the word that it is cleared has to follow.
+	contest_if_served_recently(_block); // Last, because it may clear the request, and that update comes next.
 }
 
-bool crash_guard::take_block(const request_block& _block)
+bool crash_guard::apply_block(const request_block& _block)
 {
 	const bool is_new = m_blocked.take(_block, m_clock.steady());
 	if (is_new)
 	{
 		on_block_changed(_block);
-		object_if_popular(_block);
+		contest_if_served_recently(_block);
 	}
 	return is_new;
 }
@@ -345,25 +349,25 @@
 	                .number("looks", _block.looks));
 	if (!_block.blocked)
 	{
-		m_seen.on_served(_block.request);
+		m_observed.on_served(_block.request);
 		m_counted.on_served(_block.request);
 	}
 }
 
-void crash_guard::object_if_popular(const request_block& _block)
+void crash_guard::contest_if_served_recently(const request_block& _block)
 {
-	if (_block.blocked && is_popular(_block.request))
+	if (_block.blocked && was_served_recently(_block.request))
 	{
-		send_to_counters(served_report{_block.request}, _block.request);
+		send_to_counting_nodes(served_report{_block.request}, _block.request);
 	}
 }
 
-void crash_guard::tell_region(const request_block& _block)
+void crash_guard::send_to_region(const request_block& _block)
 {
-	const block_news news{_block, false};
-	const std::vector<std::string> neighbours = m_fleet.region_addresses();
-	send(news, neighbours);
-	repeat(news, neighbours, k_news_repeats);
+	const block_news update{_block, false};
+	const std::vector<std::string> addresses = m_fleet.region_addresses();
+	send(update, addresses);
+	repeat(update, addresses, k_block_repeats);
 }
 
 void crash_guard::on_block(const request_block& _block)
@@ -373,7 +377,7 @@
 	{
 		m_unwritten.erase(it);
 	}
-	take_block(_block);
+	apply_block(_block);
 }
 
 void crash_guard::on_block_gone(const request_fingerprint& _request)
@@ -382,11 +386,11 @@
 	const request_block* known = m_blocked.known(_request);
 	if (m_unwritten.end() != it && nullptr != known && known->blocked)
 	{
-		return; // An older one has gone; the newer one is on its way there.
+		return; // The store deleted an older state; the write of the newer one is pending.
 	}
 	m_unwritten.erase(_request);
 	m_blocked.remove(_request);
-	m_seen.on_served(_request);
+	m_observed.on_served(_request);
 	m_counted.on_served(_request);
 }
 
@@ -394,17 +398,17 @@
 {
 	if (const auto* report = std::get_if<end_report>(&_message))
 	{
-		count_end(*report);
+		count_crash(*report);
 	}
 	else if (const auto* served = std::get_if<served_report>(&_message))
 	{
 		count_served(*served);
 	}
-	else if (const auto* news = std::get_if<block_news>(&_message))
+	else if (const auto* update = std::get_if<block_news>(&_message))
 	{
-		if (take_block(news->block) && news->tells_on)
+		if (apply_block(update->block) && update->tells_on)
 		{
-			tell_region(news->block);
+			send_to_region(update->block);
 		}
 	}
 	else if (const auto* asked = std::get_if<look_request>(&_message))
@@ -414,7 +418,7 @@
 	}
 	else if (const auto* answer = std::get_if<look_answer>(&_message))
 	{
-		answer_look(answer->request, answer->granted);
+		finish_trial(answer->request, answer->granted);
 	}
 	else if (const auto* returned = std::get_if<look_returned>(&_message))
 	{
@@ -425,21 +429,21 @@
 	}
 }
 
-void crash_guard::send_to_counters(const crash_message& _message, const request_fingerprint& _request)
+void crash_guard::send_to_counting_nodes(const crash_message& _message, const request_fingerprint& _request)
 {
-	const quota_holders counters = m_fleet.holders_of(_request.content);
-	for (const quota_holder& counter : {counters.first, counters.stand_in})
+	const quota_holders counting_nodes = m_fleet.holders_of(_request.content);
+	for (const quota_holder& node : {counting_nodes.first, counting_nodes.stand_in})
 	{
-		if (0 == counter.name_hash)
+		if (0 == node.name_hash)
 		{
 			continue;
 		}
-		if (counter.ip.empty())
+		if (node.ip.empty())
 		{
 			on_message(_message, "");
 			continue;
 		}
-		send(_message, {counter.ip});
+		send(_message, {node.ip});
 	}
 }
 
@@ -458,17 +462,17 @@
 
 void crash_guard::repeat(const crash_message& _message, std::vector<std::string> _addresses, int _times)
 {
-	const bool to_counters = std::holds_alternative<end_report>(_message);
-	if (m_repeated.size() < k_most_repeated && (to_counters || !_addresses.empty()))
+	const bool to_counting_nodes = std::holds_alternative<end_report>(_message);
+	if (m_repeats.size() < k_max_repeats && (to_counting_nodes || !_addresses.empty()))
 	{
-		m_repeated.push_back({_message, std::move(_addresses), m_clock.steady() + k_first_repeat, _times});
+		m_repeats.push_back({_message, std::move(_addresses), m_clock.steady() + k_first_repeat, _times});
 	}
 }
 
-void crash_guard::send_repeated()
+void crash_guard::send_repeats()
 {
 	const steady_time now = m_clock.steady();
-	for (auto it = m_repeated.begin(); it != m_repeated.end();)
+	for (auto it = m_repeats.begin(); it != m_repeats.end();)
 	{
 		if (now < it->next)
 		{
@@ -476,12 +480,12 @@
 			continue;
 		}
 		const auto* report = std::get_if<end_report>(&it->message);
-		const auto* news = std::get_if<block_news>(&it->message);
-		const request_block* known = nullptr == news ? nullptr : m_blocked.known(news->block.request);
-		const bool outdated = nullptr != known && known->number > news->block.number;
+		const auto* update = std::get_if<block_news>(&it->message);
+		const request_block* known = nullptr == update ? nullptr : m_blocked.known(update->block.request);
+		const bool outdated = nullptr != known && known->number > update->block.number;
 		if (nullptr != report)
 		{
-			send_to_counters(*report, report->request);
+			send_to_counting_nodes(*report, report->request);
 		}
 		else if (!outdated)
 		{
@@ -489,11 +493,11 @@
 		}
 		it->next = now + k_first_repeat * k_repeat_factor;
 		--it->left;
-		it = it->left <= 0 || outdated ? m_repeated.erase(it) : std::next(it);
+		it = it->left <= 0 || outdated ? m_repeats.erase(it) : std::next(it);
 	}
 }
 
-void crash_guard::write_again()
+void crash_guard::retry_writes()
 {
 	const steady_time now = m_clock.steady();
 	int written = 0;
@@ -505,10 +509,10 @@
 			it = m_unwritten.erase(it);
 			continue;
 		}
-		if (now >= it->second.next && written < k_most_written)
+		if (now >= it->second.next && written < k_max_writes)
 		{
 			++written;
-			it->second.next = now + k_write_again;
+			it->second.next = now + k_write_retry;
 			m_write(*known);
 		}
 		++it;
@@ -518,27 +522,27 @@
 void crash_guard::wake()
 {
 	const steady_time now = m_clock.steady();
-	std::vector<request_fingerprint> over;
-	for (const auto& [request, question] : m_questions)
+	std::vector<request_fingerprint> expired;
+	for (const auto& [request, trial] : m_pending_trials)
 	{
-		if (now >= question.until)
+		if (now >= trial.until)
 		{
-			over.push_back(request);
+			expired.push_back(request);
 		}
 	}
-	for (const request_fingerprint& request : over)
+	for (const request_fingerprint& request : expired)
 	{
-		answer_look(request, false);
+		finish_trial(request, false);
 	}
 }
 
 void crash_guard::tick()
 {
 	const steady_time now = m_clock.steady();
-	wake(); // The timer stands still while the VM is suspended, and waits for the last question only.
-	send_repeated();
-	write_again();
-	m_seen.tick(now);
+	wake(); // The timer stops while the VM is suspended, and covers only the trial that was requested last.
+	send_repeats();
+	retry_writes();
+	m_observed.tick(now);
 	m_counted.tick(now);
 	for (const request_fingerprint& forgotten : m_blocked.tick(now))
 	{
@@ -551,23 +555,23 @@
 
 std::uint32_t crash_guard::versions_of(const service_name& _service)
 {
-	known_versions& known = m_versions[_service];
+	cached_versions& cached = m_versions[_service];
 	const steady_time now = m_clock.steady();
-	if (steady_time{} != known.at && now - known.at < k_versions_kept)
+	if (steady_time{} != cached.at && now - cached.at < k_versions_kept)
 	{
-		return known.hash;
+		return cached.hash;
 	}
 	std::set<std::string> versions;
 	for (const backend_state* backend : m_backends.of_service(_service))
 	{
 		versions.insert(backend->registered.version.text);
 	}
-	std::string all;
+	std::string joined;
 	for (const std::string& version : versions)
 	{
-		all += version + "\n";
+		joined += version + "\n";
 	}
-	known = {short_hash(all), now};
-	return known.hash;
+	cached = {short_hash(joined), now};
+	return cached.hash;
 }
 } // namespace larkrack
--- a/src/entry_node/crash_guard_p.h
+++ b/src/entry_node/crash_guard_p.h
@@ -2,26 +2,32 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Requests that end the backend servers that run them: who saw an end, who counts, and who is told.
+/// Detects and blocks requests that crash the backend servers that run them: collects the crashes that nodes
+/// observe, and distributes blocked requests to all nodes.
 ///
-/// Owns the probes of backend servers whose connections broke, what this node saw and counts, and what it
-/// knows of blocked requests. What follows from it is decided in steering/crash_evidence and
-/// steering/blocked_requests. Relies on requests to tell how their exchanges ended, on the fleet view for the
-/// nodes that count, on entry_node to send datagrams, to hand in those that come, to write to the store, and
-/// to call tick(), and on state_replica for what stands in the store.
+/// Owns the probes of backend servers whose connections broke, the crashes that this node observed, those
+/// that it counts for all nodes, and its copy of the blocked requests. The rules are in
+/// steering/crash_evidence and steering/blocked_requests. Relies on requests to report how their exchanges
+/// ended, on the fleet view for the counting nodes, on entry_node to send datagrams, to pass in received
+/// datagrams, to write to the store and to call tick(), and on state_replica for the contents of the store.
 ///
-/// | what | from | to | when |
-/// | --- | --- | --- | --- |
-/// | end_report | who saw it | the two nodes that count this request, by consistent hashing | each end, told
-/// twice | | block_news | who counts | its region, and one node of each other region, which tells its own | a
-/// request is blocked, let through or cleared; told three times | | the same | who counts | the store | the
-/// same, until it is read back | | look_request, look_answer | who has a blocked request | the first node
-/// that counts | it may be let through | | served_report | who saw it served | the two nodes that count | it
-/// was suspected |
+/// Each request has two counting nodes, chosen by consistent hashing: the first one and its stand-in. They
+/// collect the crashes that the request causes anywhere. A blocked request may be let through a few times as
+/// a trial, so that an innocent one is cleared; the first counting node grants the trials.
 ///
-/// Cost: nothing while no backend server ends and nothing is blocked, but two hashes of a request without a
-/// body that was served. An end costs two datagrams for each request that was on the server; a block one
-/// datagram for each node, from one node of each region.
+/// Messages:
+/// - end_report: from a node that observed a crash to the counting nodes, for each crash, sent twice.
+/// - block_news: from a counting node to the nodes of its region and, in each other region, to one node and
+///   its stand-in, which forward it within their region; when a request is blocked, let through or cleared,
+///   sent three times. The counting node also writes the same state to the store, and repeats the write until
+///   it reads the state back.
+/// - look_request and look_answer: between a node that received a blocked request and the first counting
+///   node, when a trial may be due. look_returned: the trial reached no backend server.
+/// - served_report: from a node that served a suspected request to the counting nodes.
+///
+/// Cost: nothing while no backend server crashes and nothing is blocked, except for two hashes of each served
+/// request without a body. A crash costs two datagrams for each request that ran on the backend server; a
+/// block costs one datagram for each node, sent by one node of each region.
 #pragma once
 
 #include "entry_node/backend_registry_p.h"
@@ -38,34 +44,36 @@
 
 namespace larkrack
 {
-/// What requests ask about those that end backend servers, and tell of them.
+/// Interface by which requests learn whether they are blocked, and report how their exchanges ended.
 class crash_gate_base
 {
 public:
 	using look_handler = std::function<void(bool _granted)>;
 
 	virtual ~crash_gate_base() = default;
-	/// @returns Whether a request with that head may be blocked or suspected; one step while none is.
+	/// Takes constant time while no request is blocked or suspected.
+	/// @param[in] _head Hash of the request's head, see request_fingerprint.
+	/// @returns Whether a request with that head may be blocked or suspected.
 	virtual bool concerns(std::uint64_t _head) const = 0;
 	/// @returns Whether any request is blocked.
 	virtual bool blocks_any() const = 0;
-	/// Decides on a request that has come.
+	/// Decides whether a received request may be sent to a backend server.
 	virtual block_decision decide(const request_fingerprint& _request, const service_name& _service) = 0;
-	/// Asks whether a blocked request may be let through.
-	/// @param[in] _decided Called once, at once or after a moment.
+	/// Asks the first counting node whether a blocked request may be let through as a trial.
+	/// @param[in] _decided Called exactly once, immediately or after a delay.
 	virtual void ask_for_look(
 	    const request_fingerprint& _request, const service_name& _service, look_handler _decided) = 0;
-	/// Takes note that a request that was let through reached no backend server.
+	/// Reports that a request that was let through as a trial reached no backend server.
 	virtual void on_look_returned(const request_fingerprint& _request) = 0;
-	/// Takes note that the connection to a backend server broke with a request on it.
+	/// Reports that the connection to a backend server broke with a request on it.
 	virtual void on_connection_broken(const backend_ptr& _backend, const request_fingerprint& _request) = 0;
 	/// @returns Whether a request whose connection broke may be sent to another backend server.
 	virtual bool may_resend(const request_fingerprint& _request) const = 0;
-	/// Takes note that a backend server answered a request.
+	/// Reports that a backend server answered a request.
 	virtual void on_answered(const request_fingerprint& _request) = 0;
 };
 
-/// Told of the keys of the store that are about blocked requests.
+/// Receives changes of the store's keys for blocked requests.
 class block_keys_base
 {
 public:
@@ -74,12 +82,12 @@
 	virtual void on_block_gone(const request_fingerprint& _request) = 0;
 };
 
-/// The part of a node in finding and holding off requests that end backend servers.
+/// The node's part in detecting and blocking requests that crash backend servers.
 class crash_guard : public crash_gate_base, public block_keys_base
 {
 public:
 	using sender = std::function<void(const std::vector<std::uint8_t>& _bytes, const std::string& _ip)>;
-	/// Writes what is known of a request to the store, or takes it away there.
+	/// Writes the state of a blocked request to the store, or deletes its key there when it is cleared.
 	using writer = std::function<void(const request_block& _block)>;
 
 	crash_guard(asio::io_context& _context, const clock_base& _clock, const fleet_view_base& _fleet,
@@ -102,87 +110,92 @@
 	void on_block(const request_block& _block) override;
 	void on_block_gone(const request_fingerprint& _request) override;
 
-	/// Takes note that a backend server has ended.
-	/// @param[in] _requests Of this node, that were on it.
-	void on_backend_ended(const backend_server& _backend, const std::vector<request_fingerprint>& _requests);
-	/// Takes a message of another node.
+	/// Processes the crash of a backend server.
+	/// @param[in] _requests Requests of this node that the backend server was running.
+	void on_backend_crashed(
+	    const backend_server& _backend, const std::vector<request_fingerprint>& _requests);
+	/// Processes a message of another node.
 	void on_message(const crash_message& _message, const std::string& _sender_ip);
-	/// Call it at a steady interval.
+	/// Must be called periodically.
 	void tick();
-	/// Ends questions that have not been answered in time. A timer calls it while any is open.
+	/// Refuses trials that were not answered in time. A timer calls it while any is pending.
 	void wake();
-	/// @returns Requests that are blocked here.
+	/// @returns Number of requests that are blocked at this node.
 	std::size_t blocked() const
 	{
 		return m_blocked.size();
 	}
-	/// @returns Requests that were refused because they are blocked, since the start.
+	/// @returns Number of requests that were refused because they are blocked, since the start.
 	std::uint64_t refused() const
 	{
 		return m_refused;
 	}
 
 private:
-	/// Requests on a backend server that may have ended.
-	struct doubtful_end
+	/// A backend server that may have crashed, and the requests of this node that it was running.
+	struct suspected_crash
 	{
 		backend_ptr backend;
 		std::shared_ptr<crash_probe> probe;
 		std::vector<request_fingerprint> requests;
 	};
-	/// A message that is sent again, since datagrams get lost.
-	struct repeated
+	/// A message that is sent again, because datagrams get lost.
+	struct pending_repeat
 	{
 		crash_message message;
-		std::vector<std::string> addresses; ///< Empty: the nodes that count, as they are then.
+		std::vector<std::string> addresses; ///< Empty: the counting nodes at the time of sending.
 		steady_time next{};
-		int left = 0;
+		int left = 0; ///< Remaining repetitions.
 	};
-	/// A question for a look that awaits its answer.
-	struct open_question
+	/// A request for a trial that awaits its response.
+	struct pending_trial
 	{
 		look_handler decided;
 		steady_time until{};
 	};
-	/// A service's versions as of a moment.
-	struct known_versions
+	/// Cached hash of the versions that a service's backend servers run.
+	struct cached_versions
 	{
 		std::uint32_t hash = 0;
 		steady_time at{};
 	};
-	/// A block of this node's making that is not read back from the store yet.
+	/// A block that this node created and has not read back from the store yet.
 	struct unwritten_block
 	{
 		std::uint32_t number = 0;
 		steady_time next{};
 	};
 
-	void on_probed(std::uint32_t _life, bool _ended);
-	/// Tells those that count of an end under a request, if it may be at fault.
-	void report_end(std::uint32_t _life, const request_fingerprint& _request);
-	void count_end(const end_report& _report);
+	void on_probed(std::uint32_t _instance, bool _crashed);
+	/// Reports the crash of a backend server to the counting nodes of a request that it was running, unless
+	/// the request was served recently.
+	void report_crash(std::uint32_t _instance, const request_fingerprint& _request);
+	void count_crash(const end_report& _report);
 	void count_served(const served_report& _report);
-	bool is_popular(const request_fingerprint& _request) const;
+	/// @returns Whether a request without a body was served recently for the same caller at this node.
+	bool was_served_recently(const request_fingerprint& _request) const;
 	/// Blocks a request for all nodes.
 	void block(const request_fingerprint& _request);
-	/// Tells all nodes and the store of a change that this node made.
+	/// Sends a change that this node made to all nodes and to the store.
 	void announce(const request_block& _block);
-	/// Takes what is told of a request.
-	/// @returns Whether it is new here.
-	bool take_block(const request_block& _block);
-	/// Follows a change of what is known of a request.
+	/// Applies a received state of a request.
+	/// @returns Whether the state is new at this node.
+	bool apply_block(const request_block& _block);
+	/// Logs a changed state of a request, and drops the evidence against a cleared one.
 	void on_block_changed(const request_block& _block);
-	/// Says that a request was served here lately, so that it is not to blame.
-	void object_if_popular(const request_block& _block);
-	void tell_region(const request_block& _block);
+	/// Reports a blocked request that was served here recently, and so is not at fault, to the counting
+	/// nodes.
+	void contest_if_served_recently(const request_block& _block);
+	void send_to_region(const request_block& _block);
 	std::optional<request_block> grant_look(const request_fingerprint& _request, std::uint32_t _versions);
-	void answer_look(const request_fingerprint& _request, bool _granted);
-	/// Sends a message to the two nodes that count a request; what is for this one is taken in at once.
-	void send_to_counters(const crash_message& _message, const request_fingerprint& _request);
+	void finish_trial(const request_fingerprint& _request, bool _granted);
+	/// Sends a message to the two counting nodes of a request. If this node is one of them, it processes the
+	/// message immediately.
+	void send_to_counting_nodes(const crash_message& _message, const request_fingerprint& _request);
 	void send(const crash_message& _message, const std::vector<std::string>& _addresses);
 	void repeat(const crash_message& _message, std::vector<std::string> _addresses, int _times);
-	void send_repeated();
-	void write_again();
+	void send_repeats();
+	void retry_writes();
 	std::uint32_t versions_of(const service_name& _service);
 
 	asio::io_context& m_context;
@@ -193,15 +206,15 @@
 	entry_log& m_log;
 	sender m_send;
 	writer m_write;
-	std::map<std::uint32_t, doubtful_end> m_doubtful; ///< By life.
-	crash_evidence m_seen;                            ///< By this node.
-	crash_evidence m_counted;                         ///< Of all nodes, for requests that this one counts.
+	std::map<std::uint32_t, suspected_crash> m_suspected_crashes; ///< By hash of the instance.
+	crash_evidence m_observed;                                    ///< Crashes that this node observed.
+	crash_evidence m_counted; ///< Crashes that any node observed, for requests that this node counts.
 	blocked_requests m_blocked;
 	served_lately m_served;
-	std::list<repeated> m_repeated;
-	std::map<request_fingerprint, open_question> m_questions;
-	asio::steady_timer m_question_timer;
-	std::map<service_name, known_versions> m_versions;
+	std::list<pending_repeat> m_repeats;
+	std::map<request_fingerprint, pending_trial> m_pending_trials;
+	asio::steady_timer m_trial_timer;
+	std::map<service_name, cached_versions> m_versions;
 	std::map<request_fingerprint, unwritten_block> m_unwritten;
 	std::uint64_t m_refused = 0;
 };
--- a/src/entry_node/crash_messages.cpp
+++ b/src/entry_node/crash_messages.cpp
@@ -10,51 +10,51 @@
 {
 namespace
 {
-/// First field: layout and kind in one; other layouts are not understood. The kinds follow each other in the
-/// order of crash_message.
+/// First field: identifies both the layout and the kind of message. Other values are rejected. The kinds are
+/// numbered from here on, in the order of the alternatives of crash_message.
 constexpr std::uint64_t k_first_layout = 109;
-/// Fields: layout, head, content and caller of the request, and four that depend on the kind.
+/// Fields: layout, head, content and caller of the request, and four values that depend on the kind.
 constexpr std::size_t k_fields = 8;
-/// First byte of a CBOR array of that many; no other datagram of nodes begins with it.
+/// First byte of a CBOR array of k_fields elements; no other datagram between nodes begins with it.
 constexpr std::uint8_t k_first_byte = 0x80 + k_fields;
-/// Bits of the flags of block_news.
+/// Flag bits of block_news.
 constexpr std::uint64_t k_blocked_bit = 1;
-constexpr std::uint64_t k_tells_on_bit = 2; ///< See above.
+constexpr std::uint64_t k_forward_bit = 2; ///< See above.
 
-/// What a message says beside its request.
-struct message_words
+/// Values of a message besides the fingerprint of its request. Unused ones are 0.
+struct message_values
 {
-	std::uint64_t words[4] = {0, 0, 0, 0};
+	std::uint64_t values[4] = {0, 0, 0, 0};
 };
 
-message_words words_of(const end_report& _report)
+message_values values_of(const end_report& _report)
 {
 	return {{_report.life, _report.caller_only ? 1U : 0U}};
 }
 
-message_words words_of(const served_report&)
+message_values values_of(const served_report&)
 {
 	return {};
 }
 
-message_words words_of(const block_news& _news)
+message_values values_of(const block_news& _news)
 {
 	const std::uint64_t flags =
-	    (_news.block.blocked ? k_blocked_bit : 0) | (_news.tells_on ? k_tells_on_bit : 0);
+	    (_news.block.blocked ? k_blocked_bit : 0) | (_news.tells_on ? k_forward_bit : 0);
 	return {{flags, _news.block.number, _news.block.looks, _news.block.versions}};
 }
 
-message_words words_of(const look_request& _request)
+message_values values_of(const look_request& _request)
 {
 	return {{_request.versions}};
 }
 
-message_words words_of(const look_answer& _answer)
+message_values values_of(const look_answer& _answer)
 {
 	return {{_answer.granted ? 1U : 0U}};
 }
 
-message_words words_of(const look_returned&)
+message_values values_of(const look_returned&)
 {
 	return {};
 }
@@ -71,31 +71,31 @@
 }
 
 crash_message message_of(
-    std::uint64_t _layout, const request_fingerprint& _request, const message_words& _words)
+    std::uint64_t _layout, const request_fingerprint& _request, const message_values& _values)
 {
-	const auto word = [&_words](std::size_t _place)
+	const auto value = [&_values](std::size_t _index)
 	{
-		return static_cast<std::uint32_t>(_words.words[_place]);
+		return static_cast<std::uint32_t>(_values.values[_index]);
 	};
 	switch (_layout - k_first_layout)
 	{
 	case 0:
-		return end_report{_request, word(0), 0 != word(1)};
+		return end_report{_request, value(0), 0 != value(1)};
 	case 1:
 		return served_report{_request};
 	case 2:
-		return block_news{{_request, 0 != (word(0) & k_blocked_bit), word(1), word(2), word(3)},
-		    0 != (word(0) & k_tells_on_bit)};
+		return block_news{{_request, 0 != (value(0) & k_blocked_bit), value(1), value(2), value(3)},
+		    0 != (value(0) & k_forward_bit)};
 	case 3:
-		return look_request{_request, word(0)};
+		return look_request{_request, value(0)};
 	case 4:
-		return look_answer{_request, 0 != word(0)};
+		return look_answer{_request, 0 != value(0)};
 	default:
 		return look_returned{_request};
 	}
 }
 
-bool is_word(const nlohmann::json& _field)
+bool is_uint32(const nlohmann::json& _field)
 {
 	return _field.is_number_unsigned() &&
 	       _field.get<std::uint64_t>() <= std::numeric_limits<std::uint32_t>::max();
@@ -108,9 +108,9 @@
 	    [&_message](const auto& _one)
 	    {
 		    const request_fingerprint& request = request_of(_one);
-		    const message_words words = words_of(_one);
+		    const message_values values = values_of(_one);
 		    const nlohmann::json document = {k_first_layout + _message.index(), request.head, request.content,
-		        request.caller, words.words[0], words.words[1], words.words[2], words.words[3]};
+		        request.caller, values.values[0], values.values[1], values.values[2], values.values[3]};
 		    return nlohmann::json::to_cbor(document);
 	    },
 	    _message);
@@ -124,27 +124,27 @@
 result<crash_message> decode_crash_message(const std::uint8_t* _data, std::size_t _size)
 {
 	const nlohmann::json document = nlohmann::json::from_cbor(_data, _data + _size, true, false);
-	const bool whole = document.is_array() && k_fields == document.size() && is_word(document[0]) &&
+	const bool valid = document.is_array() && k_fields == document.size() && is_uint32(document[0]) &&
 	                   document[1].is_number_unsigned() && document[2].is_number_unsigned() &&
-	                   is_word(document[3]);
-	if (!whole)
+	                   is_uint32(document[3]);
+	if (!valid)
 	{
-		return error{"bad_crash_message", "no message of a request that ends backend servers"};
+		return error{"bad_crash_message", "not a crash message"};
 	}
-	message_words words;
-	for (std::size_t i = 0; i < std::size(words.words); ++i)
+	message_values values;
+	for (std::size_t i = 0; i < std::size(values.values); ++i)
 	{
-		if (!is_word(document[4 + i]))
+		if (!is_uint32(document[4 + i]))
 		{
-			return error{"bad_crash_message", "a field that is no count"};
+			return error{"bad_crash_message", "a field is not a 32-bit unsigned integer"};
 		}
-		words.words[i] = document[4 + i];
+		values.values[i] = document[4 + i];
 	}
 	const std::uint64_t layout = document[0];
 	if (layout < k_first_layout || layout >= k_first_layout + std::variant_size_v<crash_message>)
 	{
-		return error{"bad_crash_message", "another layout"};
+		return error{"bad_crash_message", "unsupported layout"};
 	}
-	return message_of(layout, {document[1], document[2], document[3]}, words);
+	return message_of(layout, {document[1], document[2], document[3]}, values);
 }
 } // namespace larkrack
--- a/src/entry_node/crash_messages_p.h
+++ b/src/entry_node/crash_messages_p.h
@@ -2,8 +2,12 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Codec of the datagrams by which nodes tell each other of requests that end backend servers: CBOR, some 30
-/// bytes each.
+/// Codec of the datagrams by which nodes inform each other of requests that crash backend servers: CBOR,
+/// about 30 bytes each.
+///
+/// Owns nothing. Relies on steering/blocked_requests_p.h for the contents. The counting nodes of a request
+/// are the two nodes that collect the crashes that it causes anywhere; see crash_guard_p.h for the exchange
+/// of these messages.
 #pragma once
 
 #include "steering/blocked_requests_p.h"
@@ -16,42 +20,42 @@
 
 namespace larkrack
 {
-/// To the nodes that count: a backend server ended under a request.
+/// To the counting nodes: a backend server crashed while it ran a request.
 struct end_report
 {
 	request_fingerprint request;
 	std::uint32_t life = 0;   ///< life_hash() of the backend server.
-	bool caller_only = false; ///< See backend_end.
+	bool caller_only = false; ///< See backend_end::caller_only.
 };
 
-/// To the nodes that count: a request was served that was suspected.
+/// To the counting nodes: a suspected request was served.
 struct served_report
 {
 	request_fingerprint request;
 };
 
-/// To all nodes: what is known of a request.
+/// To all nodes: the current state of a blocked or cleared request.
 struct block_news
 {
 	request_block block;
-	bool tells_on = false; ///< Whoever gets it tells the nodes of its region.
+	bool tells_on = false; ///< The receiver forwards the update to the nodes of its region.
 };
 
-/// To the node that counts: may a blocked request be let through?
+/// To the first counting node: asks whether a blocked request may be let through once, as a trial.
 struct look_request
 {
 	request_fingerprint request;
-	std::uint32_t versions = 0; ///< Hash of the versions that serve.
+	std::uint32_t versions = 0; ///< Hash of the versions that the service's backend servers run.
 };
 
-/// Answer to it.
+/// Response to look_request.
 struct look_answer
 {
 	request_fingerprint request;
 	bool granted = false;
 };
 
-/// To the node that counts: the request that was let through reached no backend server.
+/// To the first counting node: a request that was let through reached no backend server.
 struct look_returned
 {
 	request_fingerprint request;
@@ -62,9 +66,9 @@
 
 /// @returns The message as CBOR.
 std::vector<std::uint8_t> encode(const crash_message& _message);
-/// Told by the first byte, so that other datagrams cost nothing here.
-/// @returns Whether bytes may be such a message.
+/// Checks the first byte only, so that datagrams of other kinds aren't parsed.
+/// @returns Whether the bytes may be a crash message.
 bool is_crash_message(const std::uint8_t* _data, std::size_t _size);
-/// @returns The message, or the error "bad_crash_message" when the bytes are none.
+/// @returns The message, or the error "bad_crash_message" when the bytes are not a valid crash message.
 result<crash_message> decode_crash_message(const std::uint8_t* _data, std::size_t _size);
 } // namespace larkrack
--- a/src/entry_node/crash_probe.cpp
+++ b/src/entry_node/crash_probe.cpp
@@ -31,13 +31,13 @@
 	    });
 }
 
-void crash_probe::finish(bool _ended)
+void crash_probe::finish(bool _crashed)
 {
 	const handler decided = std::exchange(m_handler, nullptr);
 	cancel();
 	if (decided)
 	{
-		decided(_ended);
+		decided(_crashed);
 	}
 }
 
@@ -45,7 +45,7 @@
 {
 	m_handler = nullptr;
 	m_timer.cancel();
-	boost::system::error_code ignored; // It is not used again.
+	boost::system::error_code ignored; // The socket is not used again.
 	m_socket.close(ignored);
 }
 } // namespace larkrack
--- a/src/entry_node/crash_probe_p.h
+++ b/src/entry_node/crash_probe_p.h
@@ -2,14 +2,15 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Crash probe: tells a backend server that has ended from a connection that broke.
+/// Crash probe: distinguishes a crashed backend server from a broken connection.
 ///
-/// Owns the connections that are being tried. Relies on its caller to ask after a connection to the backend
-/// server broke with a request on it.
+/// Owns the socket and the timer of the connection attempt. Relies on its caller to start a probe after a
+/// connection to the backend server broke with a request on it.
 ///
-/// A process that has ended leaves a port that refuses connections; a link that resets connections, a node or
-/// a failure domain that is cut off, and a backend server that breaks an answer off do not. One that still
-/// has another connection of this node open has not ended either. A silent one tells nothing.
+/// The port of a process that has terminated refuses connections. A link that resets connections, an
+/// unreachable node or failure domain, and a backend server that aborts a response do not refuse them. A
+/// backend server to which this node still has an idle connection has not terminated either. An attempt that
+/// times out proves nothing and counts as no crash.
 #pragma once
 
 #include "entry_node/backend_registry_p.h"
@@ -22,20 +23,20 @@
 {
 namespace asio = boost::asio;
 
-/// Tries one connection to a backend server.
+/// Attempts one connection to a backend server.
 class crash_probe : public std::enable_shared_from_this<crash_probe>
 {
 public:
-	/// Called once, with whether the backend server has ended.
-	using handler = std::function<void(bool _ended)>;
+	/// Called once with whether the backend server has crashed.
+	using handler = std::function<void(bool _crashed)>;
 
 	crash_probe(asio::io_context& _context, backend_ptr _backend, handler _handler);
 	void start();
-	/// Gives it up; the handler is not called any more.
+	/// Aborts the probe; the handler is not called afterwards.
 	void cancel();
 
 private:
-	void finish(bool _ended);
+	void finish(bool _crashed);
 
 	backend_ptr m_backend;
 	handler m_handler;
--- a/src/entry_node/customer_quotas.cpp
+++ b/src/entry_node/customer_quotas.cpp
@@ -7,20 +7,21 @@
 {
 namespace
 {
-/// Milliseconds for which a request waits for a token, at most. Longer: callers wait in vain while no lender
-/// answers. Shorter: requests are refused before the stand-in has found the first lender silent. Not
-/// measured.
-constexpr std::chrono::milliseconds k_longest_ask{450};
-/// Seconds between two lines about one customer, and without a refusal until its limit counts as kept again.
-constexpr std::chrono::seconds k_told_again{10};
-/// Seconds between two looks for customers of whom a line is due.
-constexpr std::chrono::seconds k_look_interval{1};
+/// Maximum time that a request waits for a token. With a longer wait, callers wait in vain while no lender
+/// answers. With a shorter one, requests are refused before the stand-in finds the first lender
+/// unresponsive.
+constexpr std::chrono::milliseconds k_max_token_wait{450};
+/// Time between two log lines about one customer, and time without a refusal after which the customer
+/// counts as within its limit again.
+constexpr std::chrono::seconds k_log_interval{10};
+/// Time between two checks for customers with a due log line.
+constexpr std::chrono::seconds k_check_interval{1};
 } // namespace
 
 customer_quotas::customer_quotas(asio::io_context& _context, const clock_base& _clock, quota_bounds _bounds,
     const fleet_view_base& _fleet, const node_name& _self, entry_log& _log, sender _send)
     : m_clock(_clock), m_fleet(_fleet), m_log(_log), m_send(std::move(_send)),
-      m_tokens(_context, _clock, _bounds, k_longest_ask, _fleet, _self, *this)
+      m_tokens(_context, _clock, _bounds, k_max_token_wait, _fleet, _self, *this)
 {
 }
 
@@ -54,27 +55,27 @@
 {
 	m_tokens.tick(m_fleet.in_sight());
 	const steady_time now = m_clock.steady();
-	if (now - m_looked_at >= k_look_interval)
+	if (now - m_checked_at >= k_check_interval)
 	{
-		m_looked_at = now;
-		tell_refusals(now);
+		m_checked_at = now;
+		log_due_refusals(now);
 	}
 }
 
 void customer_quotas::on_refused(std::uint64_t _id)
 {
 	const steady_time now = m_clock.steady();
-	refusals& one = m_refusals[_id];
-	++one.count;
-	one.last = now;
-	const customer* whose = find(_id);
-	if (steady_time{} == one.told_at && nullptr != whose)
+	refusals& entry = m_refusals[_id];
+	++entry.count;
+	entry.last = now;
+	const customer* found = find(_id);
+	if (steady_time{} == entry.logged_at && nullptr != found)
 	{
-		tell(*whose, one, "begins");
+		log_refusals(*found, entry, "begins");
 	}
 }
 
-void customer_quotas::tell(const customer& _customer, refusals& _refusals, const char* _state)
+void customer_quotas::log_refusals(const customer& _customer, refusals& _refusals, const char* _state)
 {
 	m_log.write(log_line(event::customer_limited)
 	                .text("customer", _customer.name.text)
@@ -82,23 +83,23 @@
 	                .number("refused", _refusals.count)
 	                .decimal("limit_per_s", _customer.limit.per_s));
 	_refusals.count = 0;
-	_refusals.told_at = m_clock.steady();
+	_refusals.logged_at = m_clock.steady();
 }
 
-void customer_quotas::tell_refusals(steady_time _now)
+void customer_quotas::log_due_refusals(steady_time _now)
 {
 	for (auto it = m_refusals.begin(); it != m_refusals.end();)
 	{
-		refusals& one = it->second;
-		if (_now - one.told_at < k_told_again)
+		refusals& entry = it->second;
+		if (_now - entry.logged_at < k_log_interval)
 		{
 			++it;
 			continue;
 		}
-		const bool ends = _now - one.last >= k_told_again;
-		if (const customer* whose = find(it->first))
+		const bool ends = _now - entry.last >= k_log_interval;
+		if (const customer* found = find(it->first))
 		{
-			tell(*whose, one, ends ? "ends" : "goes_on");
+			log_refusals(*found, entry, ends ? "ends" : "goes_on");
 		}
 		it = ends ? m_refusals.erase(it) : std::next(it);
 	}
--- a/src/entry_node/customer_quotas_p.h
+++ b/src/entry_node/customer_quotas_p.h
@@ -2,10 +2,11 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Customer quotas: tokens for the requests of customers with a limit.
+/// Customer quotas: tokens for the requests of customers with a rate limit.
 ///
-/// Owns the exchange of tokens and the log of customers above their quota. Relies on the fleet for who lends
-/// a customer's tokens, and on entry_node to send datagrams, to hand in those that come, and to call tick().
+/// Owns the token exchange and the log of customers above their quota. Relies on the fleet view for the node
+/// that lends a customer's tokens, and on entry_node to send datagrams, to pass in received datagrams and to
+/// call tick().
 #pragma once
 
 #include "entry_node/entry_log_p.h"
@@ -14,7 +15,7 @@
 
 namespace larkrack
 {
-/// What a request of a customer with a limit asks before it goes on.
+/// Interface by which requests of customers with a limit take tokens before they are forwarded.
 class quota_gate_base
 {
 public:
@@ -22,15 +23,15 @@
 
 	virtual ~quota_gate_base() = default;
 	/// Takes a token, or waits for one.
-	/// @param[in] _decided Called once, at once or later, and never with quota_answer::waits.
+	/// @param[in] _decided Called exactly once, immediately or later, never with quota_answer::waits.
 	virtual void take(const customer& _customer, handler _decided) = 0;
-	/// Takes back the token of a request that reached no backend server.
+	/// Returns the token of a request that reached no backend server.
 	virtual void give_back(const customer& _customer) = 0;
-	/// @returns Seconds after which a refused caller of the customer may come back.
+	/// @returns Seconds after which a refused caller of the customer may retry.
 	virtual double seconds_to_come_back(const customer& _customer) const = 0;
 };
 
-/// Quotas over all nodes.
+/// Quotas of customers, shared by all nodes.
 class customer_quotas : public quota_gate_base, private token_owner_base
 {
 public:
@@ -48,17 +49,17 @@
 	{
 		return m_tokens.seconds_to_come_back(_customer);
 	}
-	/// Puts the customers of a configuration in force.
+	/// Sets the configuration that holds the customers and their limits.
 	void set_routes(std::shared_ptr<const routing_table> _routes)
 	{
 		m_routes = std::move(_routes);
 	}
-	/// Takes a message of another node.
+	/// Processes a message of another node.
 	void on_message(const quota_message& _message, const std::string& _sender_ip)
 	{
 		m_tokens.on_message(_message, _sender_ip);
 	}
-	/// Call it at a steady interval.
+	/// Must be called periodically.
 	void tick();
 	/// See token_exchange::wake().
 	void wake()
@@ -67,12 +68,12 @@
 	}
 
 private:
-	/// Requests of one customer that were refused since the last line of the log.
+	/// Refused requests of one customer.
 	struct refusals
 	{
-		std::int64_t count = 0;
-		steady_time told_at{};
-		steady_time last{};
+		std::int64_t count = 0; ///< Since the last log line.
+		steady_time logged_at{};
+		steady_time last{}; ///< Time of the last refusal.
 	};
 
 	std::optional<quota_subject> find_subject(std::uint64_t _id) const override;
@@ -86,8 +87,9 @@
 	}
 	void on_refused(std::uint64_t _id) override;
 	const customer* find(std::uint64_t _id) const;
-	void tell(const customer& _customer, refusals& _refusals, const char* _state);
-	void tell_refusals(steady_time _now);
+	void log_refusals(const customer& _customer, refusals& _refusals, const char* _state);
+	/// Writes the log lines that are due.
+	void log_due_refusals(steady_time _now);
 
 	const clock_base& m_clock;
 	const fleet_view_base& m_fleet;
@@ -96,6 +98,6 @@
 	token_exchange m_tokens;
 	std::shared_ptr<const routing_table> m_routes;
 	std::unordered_map<std::uint64_t, refusals> m_refusals;
-	steady_time m_looked_at{};
+	steady_time m_checked_at{}; ///< When due log lines were last checked for.
 };
 } // namespace larkrack
--- a/src/entry_node/digest_codec.cpp
+++ b/src/entry_node/digest_codec.cpp
@@ -13,40 +13,40 @@
 {
 namespace
 {
-/// First byte: no CBOR array, so no other datagram of nodes begins with it.
+/// First byte of a digest. It doesn't begin a CBOR array, so no other datagram between nodes begins with it.
 constexpr std::uint8_t k_first_byte = 0x01;
-/// Layout; another one is not understood.
+/// First field, the layout of the message; other values are rejected.
 constexpr int k_layout = 105;
-/// Fields of a part.
+/// Number of fields of one part of a digest.
 constexpr std::size_t k_fields = 5;
-/// Fields of a row.
+/// Number of fields of a row.
 constexpr std::size_t k_row_fields = 2;
-/// Bytes that a part may have unpacked.
-constexpr std::size_t k_most_bytes = 65536;
-/// Milliseconds that a row may be old: a node that was not heard for longer is in no digest.
-constexpr std::int64_t k_most_age_ms = 600000;
+/// Maximum decompressed size of a part, bytes.
+constexpr std::size_t k_max_bytes = 65536;
+/// Maximum age of a row, milliseconds: digests omit nodes that were silent for longer.
+constexpr std::int64_t k_max_age_ms = 600000;
 
-error bad(const char* _why)
+error decode_error(const char* _why)
 {
 	return {"bad_digest", _why};
 }
 
 bool read_row(const nlohmann::json& _row, const domain_digest& _digest, digest_row& _read)
 {
-	const bool whole = _row.is_array() && k_row_fields == _row.size() && _row[0].is_number_unsigned() &&
-	                   _row[0].get<std::uint64_t>() <= k_most_age_ms && _row[1].is_binary();
-	if (!whole)
+	const bool valid = _row.is_array() && k_row_fields == _row.size() && _row[0].is_number_unsigned() &&
+	                   _row[0].get<std::uint64_t>() <= k_max_age_ms && _row[1].is_binary();
+	if (!valid)
 	{
 		return false;
 	}
 	const std::vector<std::uint8_t>& bytes = _row[1].get_binary();
 	result<node_heartbeat> decoded = decode_heartbeat(bytes.data(), bytes.size());
-	node_heartbeat* one = std::get_if<node_heartbeat>(&decoded);
-	if (nullptr == one || one->domain != _digest.domain || one->region != _digest.region)
+	node_heartbeat* heartbeat = std::get_if<node_heartbeat>(&decoded);
+	if (nullptr == heartbeat || heartbeat->domain != _digest.domain || heartbeat->region != _digest.region)
 	{
-		return false; // A failure domain tells of its own nodes only.
+		return false; // A failure domain may report its own nodes only.
 	}
-	_read.last = std::move(*one);
+	_read.last = std::move(*heartbeat);
 	_read.age = std::chrono::milliseconds(_row[0].get<std::int64_t>());
 	return true;
 }
@@ -77,21 +77,21 @@
 {
 	if (!is_domain_digest(_data, _size))
 	{
-		return bad("no digest");
+		return decode_error("not a digest");
 	}
 	const std::string_view packed(reinterpret_cast<const char*>(_data) + 1, _size - 1);
-	result<std::vector<std::uint8_t>> bytes = inflate_bytes(packed, k_most_bytes);
+	result<std::vector<std::uint8_t>> bytes = inflate_bytes(packed, k_max_bytes);
 	if (nullptr == value_of(bytes))
 	{
-		return bad("it can not be unpacked");
+		return decode_error("the digest can't be decompressed");
 	}
 	const nlohmann::json document = nlohmann::json::from_cbor(*value_of(bytes), true, false);
-	const bool whole = document.is_array() && k_fields == document.size() && k_layout == document[0] &&
+	const bool valid = document.is_array() && k_fields == document.size() && k_layout == document[0] &&
 	                   document[1].is_string() && document[2].is_string() &&
 	                   document[3].is_number_unsigned() && document[4].is_array();
-	if (!whole)
+	if (!valid)
 	{
-		return bad("another layout");
+		return decode_error("unsupported layout");
 	}
 	domain_digest digest;
 	digest.domain = domain_name(document[1]);
@@ -99,12 +99,12 @@
 	digest.number = document[3];
 	for (const nlohmann::json& row : document[4])
 	{
-		digest_row one;
-		if (!read_row(row, digest, one))
+		digest_row decoded;
+		if (!read_row(row, digest, decoded))
 		{
-			return bad("a row that is none");
+			return decode_error("invalid row");
 		}
-		digest.rows.push_back(std::move(one));
+		digest.rows.push_back(std::move(decoded));
 	}
 	return digest;
 }
--- a/src/entry_node/digest_codec_p.h
+++ b/src/entry_node/digest_codec_p.h
@@ -2,8 +2,10 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Codec of the datagrams by which failure domains tell of their nodes: packed CBOR. What they hold:
-/// steering/domain_digest_p.h.
+/// Codec of domain digests, the datagrams by which a failure domain reports the state of its nodes to the
+/// others: compressed CBOR.
+///
+/// Owns nothing. Relies on steering/domain_digest_p.h for the contents and on deflate for the compression.
 #pragma once
 
 #include "steering/domain_digest_p.h"
@@ -12,13 +14,14 @@
 
 namespace larkrack
 {
-/// Rows of one datagram; packed, they have about a kilobyte.
+/// Number of rows in one datagram, about a kilobyte when compressed.
 constexpr std::size_t k_digest_rows = 16;
 
-/// @returns The part as bytes of one datagram.
+/// @returns One part of a digest as the bytes of a datagram.
 std::vector<std::uint8_t> encode(const domain_digest& _digest);
-/// Told by the first byte, so that other datagrams cost nothing here.
+/// Checks the first byte only, so that datagrams of other kinds aren't parsed.
+/// @returns Whether the bytes may be a part of a digest.
 bool is_domain_digest(const std::uint8_t* _data, std::size_t _size);
-/// @returns The part, or the error "bad_digest".
+/// @returns The part of a digest, or the error "bad_digest" when the bytes are not valid.
 result<domain_digest> decode_domain_digest(const std::uint8_t* _data, std::size_t _size);
 } // namespace larkrack
--- a/src/entry_node/heartbeat.cpp
+++ b/src/entry_node/heartbeat.cpp
@@ -9,18 +9,18 @@
 {
 namespace
 {
-/// Layout of the datagram; another one is not understood.
+/// First field, the layout of the datagram; other values are rejected.
 constexpr int k_layout = 5;
-/// Fields of the datagram, the layout among them.
+/// Number of fields of the datagram, including the layout.
 constexpr std::size_t k_fields = 18;
-/// States of a node; how many fit beside an age.
+/// Number of values of node_state. A state and an age are packed into one integer.
 constexpr int k_node_states = 3;
-/// Step in which ages of news are told; a finer one makes longer numbers.
+/// Unit of the ages of reported nodes; a smaller unit makes longer numbers.
 constexpr std::chrono::milliseconds k_age_unit{50};
-/// Stands for an age that there is none of.
+/// Encodes a missing age.
 constexpr std::int64_t k_no_age = -1;
 
-/// Rates by service or by region as an object.
+/// @returns Rates by service or by region as a JSON object.
 template <typename Tag>
 nlohmann::json rates_to_json(const std::map<text_id<Tag>, double>& _rates)
 {
@@ -84,14 +84,14 @@
 	return counts;
 }
 
-/// Two numbers for each node: the hash of its name, and age and state as one.
+/// @returns Two numbers for each node: the hash of its name, and its age and state packed into one.
 nlohmann::json neighbours_to_json(const std::vector<neighbour_news>& _neighbours)
 {
 	nlohmann::json list = nlohmann::json::array();
-	for (const neighbour_news& one : _neighbours)
+	for (const neighbour_news& neighbour : _neighbours)
 	{
-		list.push_back(one.name_hash);
-		list.push_back(one.age / k_age_unit * k_node_states + static_cast<int>(one.state));
+		list.push_back(neighbour.name_hash);
+		list.push_back(neighbour.age / k_age_unit * k_node_states + static_cast<int>(neighbour.state));
 	}
 	return list;
 }
@@ -110,45 +110,45 @@
 
 node_heartbeat heartbeat_of_json(const nlohmann::json& _document)
 {
-	node_heartbeat one;
-	one.node = node_name(_document.at(1).get<std::string>());
-	one.incarnation = _document.at(2).get<std::uint64_t>();
-	one.sequence = _document.at(3).get<std::uint64_t>();
-	one.domain = domain_name(_document.at(4).get<std::string>());
-	one.region = region_name(_document.at(5).get<std::string>());
-	one.ip = _document.at(6).get<std::string>();
-	one.callers = _document.at(7).get<std::string>();
-	one.state = static_cast<node_state>(_document.at(8).get<int>());
-	one.config_version = _document.at(9).get<std::uint64_t>();
-	one.store_revision = _document.at(10).get<std::int64_t>();
-	one.requests_per_s = rates_of_json<service_name_tag>(_document.at(11));
-	one.known_ips = _document.at(12).get<std::vector<std::string>>();
-	one.sent_per_s = sent_of_json(_document.at(13));
-	one.in_flight = in_flight_of_json(_document.at(14));
-	one.store_reached = _document.at(15).get<bool>();
+	node_heartbeat heartbeat;
+	heartbeat.node = node_name(_document.at(1).get<std::string>());
+	heartbeat.incarnation = _document.at(2).get<std::uint64_t>();
+	heartbeat.sequence = _document.at(3).get<std::uint64_t>();
+	heartbeat.domain = domain_name(_document.at(4).get<std::string>());
+	heartbeat.region = region_name(_document.at(5).get<std::string>());
+	heartbeat.ip = _document.at(6).get<std::string>();
+	heartbeat.callers = _document.at(7).get<std::string>();
+	heartbeat.state = static_cast<node_state>(_document.at(8).get<int>());
+	heartbeat.config_version = _document.at(9).get<std::uint64_t>();
+	heartbeat.store_revision = _document.at(10).get<std::int64_t>();
+	heartbeat.requests_per_s = rates_of_json<service_name_tag>(_document.at(11));
+	heartbeat.known_ips = _document.at(12).get<std::vector<std::string>>();
+	heartbeat.sent_per_s = sent_of_json(_document.at(13));
+	heartbeat.in_flight = in_flight_of_json(_document.at(14));
+	heartbeat.store_reached = _document.at(15).get<bool>();
 	const auto age = _document.at(16).get<std::int64_t>();
 	if (age >= 0)
 	{
-		one.store_answer_age = std::chrono::milliseconds(age);
+		heartbeat.store_answer_age = std::chrono::milliseconds(age);
 	}
-	one.neighbours = neighbours_of_json(_document.at(17));
-	return one;
+	heartbeat.neighbours = neighbours_of_json(_document.at(17));
+	return heartbeat;
 }
 
-/// Whether a node may ask for or send this many requests a second.
-bool is_rate(double _per_s)
+/// @returns Whether a node may receive or send this many requests a second.
+bool is_plausible_rate(double _per_s)
 {
-	/// Requests a second, far above what any node serves. A rate beyond it would move the keys of a whole
-	/// region for as long as its peak is remembered.
-	constexpr double k_most_per_s = 1e6;
-	return _per_s >= 0.0 && _per_s <= k_most_per_s;
+	/// Requests a second, far above what any node serves. A higher rate would move the keys of a whole region
+	/// for as long as its peak is remembered.
+	constexpr double k_max_per_s = 1e6;
+	return _per_s >= 0.0 && _per_s <= k_max_per_s;
 }
 
-bool has_sound_rates(const node_heartbeat& _heartbeat)
+bool has_plausible_rates(const node_heartbeat& _heartbeat)
 {
 	for (const auto& [service, per_s] : _heartbeat.requests_per_s)
 	{
-		if (!is_rate(per_s))
+		if (!is_plausible_rate(per_s))
 		{
 			return false;
 		}
@@ -157,7 +157,7 @@
 	{
 		for (const auto& [region, per_s] : rates)
 		{
-			if (!is_rate(per_s))
+			if (!is_plausible_rate(per_s))
 			{
 				return false;
 			}
@@ -187,19 +187,19 @@
 		const nlohmann::json document = nlohmann::json::from_cbor(_data, _data + _size);
 		if (!document.is_array() || k_fields != document.size() || k_layout != document.at(0).get<int>())
 		{
-			return error{"bad_heartbeat", "another layout"};
+			return error{"bad_heartbeat", "unsupported layout"};
 		}
-		node_heartbeat one = heartbeat_of_json(document);
+		node_heartbeat heartbeat = heartbeat_of_json(document);
 		const auto state = document.at(8).get<std::int64_t>();
 		if (state < 0 || state >= k_node_states)
 		{
-			return error{"bad_heartbeat", "a state that no node can have"};
+			return error{"bad_heartbeat", "invalid node state"};
 		}
-		if (!has_sound_rates(one))
+		if (!has_plausible_rates(heartbeat))
 		{
-			return error{"bad_heartbeat", "a rate that no node can have"};
+			return error{"bad_heartbeat", "a rate is out of range"};
 		}
-		return one;
+		return heartbeat;
 	}
 	catch (const nlohmann::json::exception& exception)
 	{
--- a/src/entry_node/heartbeat_p.h
+++ b/src/entry_node/heartbeat_p.h
@@ -2,8 +2,9 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Codec of the datagrams by which nodes tell each other that they are there: CBOR. What they hold:
-/// node_heartbeat_p.h.
+/// Codec of heartbeats, the datagrams by which nodes report that they are running: CBOR.
+///
+/// Owns nothing. Relies on steering/node_heartbeat_p.h for the contents.
 #pragma once
 
 #include "steering/node_heartbeat_p.h"
@@ -14,6 +15,6 @@
 {
 /// @returns The heartbeat as CBOR.
 std::vector<std::uint8_t> encode(const node_heartbeat& _heartbeat);
-/// @returns The heartbeat, or the error "bad_heartbeat" when the bytes are none.
+/// @returns The heartbeat, or the error "bad_heartbeat" when the bytes are not a valid heartbeat.
 result<node_heartbeat> decode_heartbeat(const std::uint8_t* _data, std::size_t _size);
 } // namespace larkrack
--- a/src/entry_node/limit_messages.cpp
+++ b/src/entry_node/limit_messages.cpp
@@ -12,43 +12,44 @@
 {
 namespace
 {
-/// First field: layout and kind in one; other layouts are not understood.
-constexpr int k_word_layout = 106;
+/// First field: identifies both the layout and the kind of message. Other values are rejected.
+constexpr int k_limit_layout = 106;
 constexpr int k_request_layout = 107; ///< See above.
 constexpr int k_grant_layout = 108;   ///< See above.
-/// Fields: layout, life, count of tokens, rank of the lender or wait in milliseconds, word.
+/// Fields: layout, instance of the backend server, number of tokens, rank of the lender or wait in
+/// milliseconds, reported limit.
 constexpr std::size_t k_fields = 5;
-/// First byte of a CBOR array of that many; no other datagram of nodes begins with it.
+/// First byte of a CBOR array of k_fields elements; no other datagram between nodes begins with it.
 constexpr std::uint8_t k_first_byte = 0x80 + k_fields;
-/// Parts of a request a second in which a limit is told.
-constexpr double k_parts_of_limit = 1000.0;
-/// Milliseconds that a word may be old.
-constexpr std::uint64_t k_most_age_ms = 600000;
+/// A limit is sent as an integer in units of 1/k_limit_scale requests a second.
+constexpr double k_limit_scale = 1000.0;
+/// Maximum age of a reported limit, milliseconds.
+constexpr std::uint64_t k_max_age_ms = 600000;
 
-error bad(const char* _why)
+error decode_error(const char* _why)
 {
 	return {"bad_limit", _why};
 }
 
-/// The age in milliseconds, and the limit if there is one.
-nlohmann::json word_to_json(const limit_word& _word, steady_time _now)
+/// @returns Array of the age in milliseconds and, if there is a limit, the scaled limit.
+nlohmann::json limit_to_json(const limit_word& _word, steady_time _now)
 {
 	const auto age = std::chrono::duration_cast<std::chrono::milliseconds>(_now - _word.said_at).count();
 	nlohmann::json fields = nlohmann::json::array();
 	fields.push_back(
-	    std::clamp<std::uint64_t>(age < 0 ? 0 : static_cast<std::uint64_t>(age), 0, k_most_age_ms));
+	    std::clamp<std::uint64_t>(age < 0 ? 0 : static_cast<std::uint64_t>(age), 0, k_max_age_ms));
 	if (_word.per_s)
 	{
-		fields.push_back(static_cast<std::uint64_t>(std::llround(*_word.per_s * k_parts_of_limit)));
+		fields.push_back(static_cast<std::uint64_t>(std::llround(*_word.per_s * k_limit_scale)));
 	}
 	return fields;
 }
 
-std::optional<limit_word> word_of_json(const nlohmann::json& _fields, steady_time _now)
+std::optional<limit_word> limit_of_json(const nlohmann::json& _fields, steady_time _now)
 {
-	const bool whole = _fields.is_array() && (1 == _fields.size() || 2 == _fields.size()) &&
-	                   _fields[0].is_number_unsigned() && _fields[0].get<std::uint64_t>() <= k_most_age_ms;
-	if (!whole)
+	const bool valid = _fields.is_array() && (1 == _fields.size() || 2 == _fields.size()) &&
+	                   _fields[0].is_number_unsigned() && _fields[0].get<std::uint64_t>() <= k_max_age_ms;
+	if (!valid)
 	{
 		return std::nullopt;
 	}
@@ -61,7 +62,7 @@
 	{
 		return std::nullopt;
 	}
-	const double per_s = _fields[1].get<double>() / k_parts_of_limit;
+	const double per_s = _fields[1].get<double>() / k_limit_scale;
 	if (per_s < k_least_limit_per_s || per_s > k_most_limit_per_s)
 	{
 		return std::nullopt;
@@ -79,7 +80,7 @@
 
 std::vector<std::uint8_t> encode(const limit_message& _message, steady_time _now)
 {
-	int layout = k_word_layout;
+	int layout = k_limit_layout;
 	std::uint64_t count = 0;
 	std::uint64_t last = 0;
 	if (const auto* request = std::get_if<quota_request>(&_message.tokens))
@@ -94,7 +95,8 @@
 		count = grant->granted;
 		last = static_cast<std::uint64_t>(grant->wait.count());
 	}
-	const nlohmann::json document = {layout, _message.life, count, last, word_to_json(_message.word, _now)};
+	const nlohmann::json document = {
+	    layout, _message.instance, count, last, limit_to_json(_message.word, _now)};
 	return nlohmann::json::to_cbor(document);
 }
 
@@ -108,17 +110,17 @@
 	const nlohmann::json document = nlohmann::json::from_cbor(_data, _data + _size, true, false);
 	if (document.is_discarded() || !document.is_array() || k_fields != document.size())
 	{
-		return bad("no message about a limit");
+		return decode_error("not a limit message");
 	}
 	if (!document[0].is_number_unsigned() || !document[1].is_number_unsigned() || !is_count(document[2]) ||
 	    !is_count(document[3]))
 	{
-		return bad("a field that is no count");
+		return decode_error("a field is not a valid count");
 	}
-	const std::optional<limit_word> word = word_of_json(document[4], _now);
+	const std::optional<limit_word> word = limit_of_json(document[4], _now);
 	if (!word || document[1].get<std::uint64_t>() > std::numeric_limits<std::uint32_t>::max())
 	{
-		return bad("no word about a limit");
+		return decode_error("invalid limit or backend server instance");
 	}
 	limit_message message{document[1], *word, {}};
 	const auto layout = document[0].get<std::uint64_t>();
@@ -126,15 +128,15 @@
 	const auto last = document[3].get<std::uint16_t>();
 	if (k_request_layout == layout && count >= 1 && last <= static_cast<int>(lender_rank::stand_in))
 	{
-		message.tokens = quota_request{message.life, count, static_cast<lender_rank>(last)};
+		message.tokens = quota_request{message.instance, count, static_cast<lender_rank>(last)};
 	}
 	else if (k_grant_layout == layout)
 	{
-		message.tokens = quota_grant{message.life, count, std::chrono::milliseconds(last)};
+		message.tokens = quota_grant{message.instance, count, std::chrono::milliseconds(last)};
 	}
-	else if (k_word_layout != layout)
+	else if (k_limit_layout != layout)
 	{
-		return bad("another layout");
+		return decode_error("unsupported layout");
 	}
 	return message;
 }
--- a/src/entry_node/quota_messages.cpp
+++ b/src/entry_node/quota_messages.cpp
@@ -11,15 +11,15 @@
 {
 namespace
 {
-/// First field: layout and kind in one; other layouts are not understood.
+/// First field: identifies both the layout and the kind of message. Other values are rejected.
 constexpr int k_request_layout = 101;
 constexpr int k_grant_layout = 102; ///< See above.
-/// Fields of either message.
+/// Number of fields of either message.
 constexpr std::size_t k_fields = 4;
-/// First byte of a CBOR array of that many; no other datagram of nodes begins with it.
+/// First byte of a CBOR array of k_fields elements; no other datagram between nodes begins with it.
 constexpr std::uint8_t k_first_byte = 0x80 + k_fields;
 
-error bad(const char* _why)
+error decode_error(const char* _why)
 {
 	return {"bad_quota", _why};
 }
@@ -53,13 +53,13 @@
 	const nlohmann::json document = nlohmann::json::from_cbor(_data, _data + _size, true, false);
 	if (document.is_discarded() || !document.is_array() || k_fields != document.size())
 	{
-		return bad("no message about tokens");
+		return decode_error("not a quota message");
 	}
 	for (const nlohmann::json& field : document)
 	{
 		if (!field.is_number_unsigned())
 		{
-			return bad("a field that is no count");
+			return decode_error("a field is not an unsigned integer");
 		}
 	}
 	const auto layout = document[0].get<std::uint64_t>();
@@ -67,7 +67,7 @@
 	const auto last = document[3].get<std::int64_t>();
 	if (!is_count(count) || !is_count(last))
 	{
-		return bad("a count out of its range");
+		return decode_error("a count is out of range");
 	}
 	if (k_grant_layout == layout)
 	{
@@ -79,7 +79,7 @@
 	}
 	if (k_request_layout != layout || count < 1 || last > static_cast<int>(lender_rank::stand_in))
 	{
-		return bad("another layout");
+		return decode_error("unsupported layout");
 	}
 	quota_request request;
 	request.customer = document[1];
--- a/src/entry_node/rollout_messages.cpp
+++ b/src/entry_node/rollout_messages.cpp
@@ -9,21 +9,21 @@
 {
 namespace
 {
-/// First field; other layouts are not understood.
+/// First field, the layout of the message; other values are rejected.
 constexpr int k_layout = 103;
-/// Fields of the message.
+/// Number of fields of the message.
 constexpr std::size_t k_fields = 7;
-/// First byte of a CBOR array of that many; no other datagram of nodes begins with it.
+/// First byte of a CBOR array of k_fields elements; no other datagram between nodes begins with it.
 constexpr std::uint8_t k_first_byte = 0x80 + k_fields;
-/// Requests of one side of one route that a node is believed to have seen. Far above what any node serves in
-/// a roll-out, so that no sum overflows.
-constexpr std::uint64_t k_most_requests = 1U << 22U;
-/// Fields of one route.
+/// Maximum number of requests that is accepted for one side (the target version or the others) of
+/// one route. It is far above what any node serves in a roll-out, and low enough that no sum overflows.
+constexpr std::uint64_t k_max_requests = 1U << 22U;
+/// Number of fields of one route: name, target version, other versions.
 constexpr std::size_t k_route_fields = 3;
-/// Fields of one side.
+/// Number of fields of one side: ended requests, failed requests, response times.
 constexpr std::size_t k_side_fields = 3;
 
-/// Counts of the classes of times that any answer fell into, each behind its class.
+/// Response times are encoded as pairs of time class and count, for classes with any response.
 nlohmann::json side_to_json(const version_counts& _side)
 {
 	nlohmann::json times = nlohmann::json::array();
@@ -40,14 +40,14 @@
 
 bool is_count(const nlohmann::json& _field)
 {
-	return _field.is_number_unsigned() && _field.get<std::uint64_t>() <= k_most_requests;
+	return _field.is_number_unsigned() && _field.get<std::uint64_t>() <= k_max_requests;
 }
 
 bool read_side(const nlohmann::json& _field, version_counts& _side)
 {
-	const bool whole = _field.is_array() && k_side_fields == _field.size() && is_count(_field[0]) &&
+	const bool valid = _field.is_array() && k_side_fields == _field.size() && is_count(_field[0]) &&
 	                   is_count(_field[1]) && _field[2].is_array() && 0 == _field[2].size() % 2;
-	if (!whole)
+	if (!valid)
 	{
 		return false;
 	}
@@ -67,13 +67,13 @@
 
 bool read_route(const nlohmann::json& _field, rollout_evidence& _evidence)
 {
-	const bool whole = _field.is_array() && k_route_fields == _field.size() && _field[0].is_string();
-	if (!whole || _evidence.size() > k_told_routes)
+	const bool valid = _field.is_array() && k_route_fields == _field.size() && _field[0].is_string();
+	if (!valid || _evidence.size() > k_told_routes)
 	{
 		return false;
 	}
-	route_evidence& one = _evidence[_field[0].get<std::string>()];
-	return read_side(_field[1], one.target) && read_side(_field[2], one.others);
+	route_evidence& evidence = _evidence[_field[0].get<std::string>()];
+	return read_side(_field[1], evidence.target) && read_side(_field[2], evidence.others);
 }
 } // namespace
 
@@ -97,13 +97,13 @@
 result<rollout_report> decode_rollout_report(const std::uint8_t* _data, std::size_t _size)
 {
 	const nlohmann::json document = nlohmann::json::from_cbor(_data, _data + _size, true, false);
-	const bool whole = document.is_array() && k_fields == document.size() && k_layout == document[0] &&
+	const bool valid = document.is_array() && k_fields == document.size() && k_layout == document[0] &&
 	                   document[1].is_string() && document[2].is_number_integer() &&
 	                   document[3].is_number_unsigned() && document[4].is_number_unsigned() &&
 	                   document[5].is_number_unsigned() && document[6].is_array();
-	if (!whole)
+	if (!valid)
 	{
-		return error{"bad_report", "no report on a roll-out"};
+		return error{"bad_report", "not a roll-out report"};
 	}
 	rollout_report report;
 	report.service = service_name(document[1]);
@@ -115,7 +115,7 @@
 	{
 		if (!read_route(route, report.evidence))
 		{
-			return error{"bad_report", "counts that no node can have"};
+			return error{"bad_report", "counts exceed what a node can observe"};
 		}
 	}
 	return report;
--- a/src/entry_node/rollout_messages_p.h
+++ b/src/entry_node/rollout_messages_p.h
@@ -2,7 +2,10 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Codec of the datagrams by which nodes tell those that decide how a version does: CBOR, up to a kilobyte.
+/// Codec of the datagrams by which nodes report the results of a version to the nodes that decide a roll-out:
+/// CBOR, up to a kilobyte.
+///
+/// Owns nothing. Relies on steering/rollout_evidence_p.h for the counts.
 #pragma once
 
 #include "steering/rollout_evidence_p.h"
@@ -14,21 +17,23 @@
 
 namespace larkrack
 {
-/// What one node has seen of a roll-out so far.
+/// Results of a roll-out that one node has observed so far.
 struct rollout_report
 {
 	service_name service;
 	std::int64_t order_revision = 0;
-	std::uint32_t sender = 0;            ///< short_hash of its name.
-	std::uint64_t incarnation = 0;       ///< Of the sender: its counts begin anew with each.
-	std::chrono::milliseconds passed{0}; ///< Since it learned of the order.
+	std::uint32_t sender = 0;            ///< short_hash() of the sender's name.
+	std::uint64_t incarnation = 0;       ///< Of the sender, whose counts start from 0 with each incarnation.
+	std::chrono::milliseconds passed{0}; ///< Time since the sender learned of the order.
 	rollout_evidence evidence;
 };
 
 /// @returns The report as CBOR.
 std::vector<std::uint8_t> encode(const rollout_report& _report);
-/// Told by the first byte, so that other datagrams cost nothing here.
+/// Checks the first byte only, so that datagrams of other kinds aren't parsed.
+/// @returns Whether the bytes may be a report.
 bool is_rollout_report(const std::uint8_t* _data, std::size_t _size);
-/// @returns The report, or the error "bad_report" when the bytes are none, or tell more than a node can see.
+/// @returns The report, or the error "bad_report" when the bytes are not a valid report or its counts exceed
+/// what a node can observe.
 result<rollout_report> decode_rollout_report(const std::uint8_t* _data, std::size_t _size);
 } // namespace larkrack
--- a/src/entry_node/rollouts.cpp
+++ b/src/entry_node/rollouts.cpp
@@ -11,13 +11,14 @@
 {
 namespace
 {
-/// Milliseconds between two reports to the nodes that decide. Longer: a bad version serves longer. Shorter:
-/// more datagrams (up to 1 KB, from each node, while a version is rolled out). Not measured.
-constexpr std::chrono::milliseconds k_report_pause{500};
-/// Milliseconds until a state is written again whose write came to nothing. Not measured.
-constexpr std::chrono::milliseconds k_write_pause{1000};
-/// Reports of nodes that one that decides keeps: more than any fleet has nodes.
-constexpr std::size_t k_most_reports = 10000;
+/// Time between two reports to the deciding nodes. With a longer interval, a bad version serves
+/// requests for longer. A shorter one sends more datagrams (up to 1 KB each, from each node, during a
+/// roll-out).
+constexpr std::chrono::milliseconds k_report_interval{500};
+/// Time after which the write of a state that did not take effect is repeated.
+constexpr std::chrono::milliseconds k_write_retry{1000};
+/// Maximum number of nodes whose reports a deciding node keeps; more than any fleet has nodes.
+constexpr std::size_t k_max_reports = 10000;
 
 const char* text_of(rollout_state _state)
 {
@@ -51,27 +52,27 @@
 } // namespace
 
 rollouts::rollouts(const clock_base& _clock, const fleet_view_base& _fleet, const backend_registry& _backends,
-    double _most_exposed, const node_name& _self, std::uint64_t _incarnation, entry_log& _log, sender _send,
+    double _max_exposed, const node_name& _self, std::uint64_t _incarnation, entry_log& _log, sender _send,
     writer _write)
-    : m_clock(_clock), m_fleet(_fleet), m_backends(_backends), m_most_exposed(_most_exposed),
+    : m_clock(_clock), m_fleet(_fleet), m_backends(_backends), m_max_exposed(_max_exposed),
       m_self(short_hash(_self.text)), m_incarnation(_incarnation), m_log(_log), m_send(std::move(_send)),
       m_write(std::move(_write))
 {
 }
 
-std::optional<rollout_state> rollouts::written_of(const rollout& _rollout) const
+std::optional<rollout_state> rollouts::stored_state(const rollout& _rollout) const
 {
 	const auto status = m_statuses.find(_rollout.order.service);
 	const bool known = m_statuses.end() != status && is_status_of(status->second, _rollout.order);
 	return known ? std::optional(status->second.state) : std::nullopt;
 }
 
-bool rollouts::exposes(const rollout& _rollout) const
+bool rollouts::may_expose(const rollout& _rollout) const
 {
 	const nodes_in_sight nodes = m_fleet.in_sight();
-	const bool cut_off = nodes.most > 1.0 && nodes.live <= 1.0; // It would not hear of a verdict.
-	const bool over = m_clock.steady() - _rollout.known_at >= _rollout.order.duration;
-	return !_rollout.own_bad && !_rollout.bad_since && !cut_off && !over;
+	const bool isolated = nodes.most > 1.0 && nodes.live <= 1.0; // This node would not learn of a verdict.
+	const bool expired = m_clock.steady() - _rollout.known_at >= _rollout.order.duration;
+	return !_rollout.own_bad && !_rollout.bad_since && !isolated && !expired;
 }
 
 version_rule rollouts::rule_for(const service_name& _service, double _position)
@@ -81,18 +82,18 @@
 	{
 		return {};
 	}
-	rollout& one = it->second;
-	const version_name& target = one.order.target;
-	const std::optional<rollout_state> written = written_of(one);
-	if (rollout_state::rolled_back == written)
+	rollout& known = it->second;
+	const version_name& target = known.order.target;
+	const std::optional<rollout_state> stored = stored_state(known);
+	if (rollout_state::rolled_back == stored)
 	{
 		return {version_side::others, target};
 	}
-	if (rollout_state::complete == written)
+	if (rollout_state::complete == stored)
 	{
-		return {one.target_serves ? version_side::target : version_side::any, target};
+		return {known.target_available ? version_side::target : version_side::any, target};
 	}
-	const bool exposed = exposes(one) && one.share.next(_position);
+	const bool exposed = may_expose(known) && known.share.next(_position);
 	return {exposed ? version_side::target : version_side::others, target};
 }
 
@@ -103,9 +104,9 @@
 	{
 		return;
 	}
-	rollout& one = it->second;
-	route_evidence& evidence = evidence_of(one.own, _attempt.route);
-	version_counts& side = _attempt.version == one.order.target ? evidence.target : evidence.others;
+	rollout& known = it->second;
+	route_evidence& evidence = evidence_of(known.own, _attempt.route);
+	version_counts& side = _attempt.version == known.order.target ? evidence.target : evidence.others;
 	++side.ended;
 	side.failed += _attempt.failed ? 1 : 0;
 	if (_attempt.time)
@@ -121,12 +122,12 @@
 	{
 		return;
 	}
-	rollout fresh;
-	fresh.order = _order;
-	fresh.known_at = m_clock.steady();
-	fresh.share = rollout_share(m_most_exposed);
-	fresh.target_serves = serves(_order);
-	m_rollouts[_order.service] = std::move(fresh);
+	rollout started;
+	started.order = _order;
+	started.known_at = m_clock.steady();
+	started.share = rollout_share(m_max_exposed);
+	started.target_available = is_target_available(_order);
+	m_rollouts[_order.service] = std::move(started);
 }
 
 void rollouts::on_order_gone(const service_name& _service)
@@ -166,21 +167,23 @@
 	{
 		return;
 	}
-	rollout& one = it->second;
-	const auto known = one.told.find(_report.sender);
-	const bool older = one.told.end() != known && known->second.incarnation == _report.incarnation &&
-	                   known->second.passed >= _report.passed;
-	if (older || (one.told.end() == known && one.told.size() >= k_most_reports))
+	rollout& reported = it->second;
+	const auto known = reported.reports.find(_report.sender);
+	const bool outdated = reported.reports.end() != known &&
+	                      known->second.incarnation == _report.incarnation &&
+	                      known->second.passed >= _report.passed;
+	if (outdated || (reported.reports.end() == known && reported.reports.size() >= k_max_reports))
 	{
 		return;
 	}
-	one.told[_report.sender] = _report;
-	// Others learned of the order before this node did; none believes one that has known it for longer.
-	const std::chrono::milliseconds passed = std::min(_report.passed, one.order.duration);
-	one.known_at = std::min(one.known_at, m_clock.steady() - passed);
+	reported.reports[_report.sender] = _report;
+	// The sender may have learned of the order before this node did. A reported time that exceeds the
+	// duration of the order is limited to that duration.
+	const std::chrono::milliseconds passed = std::min(_report.passed, reported.order.duration);
+	reported.known_at = std::min(reported.known_at, m_clock.steady() - passed);
 }
 
-bool rollouts::serves(const rollout_order& _order) const
+bool rollouts::is_target_available(const rollout_order& _order) const
 {
 	const std::vector<backend_state*>& all = m_backends.of_service(_order.service);
 	return std::any_of(all.begin(), all.end(),
@@ -193,7 +196,7 @@
 rollout_evidence rollouts::evidence_of_all(const rollout& _rollout) const
 {
 	rollout_evidence sum = _rollout.own;
-	for (const auto& [sender, report] : _rollout.told)
+	for (const auto& [sender, report] : _rollout.reports)
 	{
 		add_evidence(sum, report.evidence);
 	}
@@ -217,20 +220,20 @@
 	{
 		return;
 	}
-	_rollout.next_report = now + k_report_pause;
-	rollout_report one;
-	one.service = _rollout.order.service;
-	one.order_revision = _rollout.order.revision;
-	one.sender = m_self;
-	one.incarnation = m_incarnation;
-	one.passed = std::chrono::duration_cast<std::chrono::milliseconds>(now - _rollout.known_at);
-	one.evidence = _rollout.own;
-	const std::vector<std::uint8_t> bytes = encode(one);
-	for (const quota_holder* to : {&_deciders.first, &_deciders.stand_in})
+	_rollout.next_report = now + k_report_interval;
+	rollout_report message;
+	message.service = _rollout.order.service;
+	message.order_revision = _rollout.order.revision;
+	message.sender = m_self;
+	message.incarnation = m_incarnation;
+	message.passed = std::chrono::duration_cast<std::chrono::milliseconds>(now - _rollout.known_at);
+	message.evidence = _rollout.own;
+	const std::vector<std::uint8_t> bytes = encode(message);
+	for (const quota_holder* decider : {&_deciders.first, &_deciders.stand_in})
 	{
-		if (!to->ip.empty())
+		if (!decider->ip.empty())
 		{
-			m_send(bytes, to->ip);
+			m_send(bytes, decider->ip);
 		}
 	}
 }
@@ -243,12 +246,12 @@
 	{
 		return;
 	}
-	_rollout.next_write = now + k_write_pause;
-	route_evidence all;
+	_rollout.next_write = now + k_write_retry;
+	route_evidence total;
 	for (const auto& [route, evidence] : _evidence)
 	{
-		all.target.add(evidence.target);
-		all.others.add(evidence.others);
+		total.target.add(evidence.target);
+		total.others.add(evidence.others);
 	}
 	m_log.write(log_line(event::rollout_decided)
 	                .text("service", _rollout.order.service.text)
@@ -256,10 +259,10 @@
 	                .text("state", text_of(_step.state))
 	                .text("why", text_of(_step.reason, _verdict))
 	                .text("route", _verdict.route)
-	                .number("target_ended", all.target.ended)
-	                .number("target_failed", all.target.failed)
-	                .number("others_ended", all.others.ended)
-	                .number("others_failed", all.others.failed));
+	                .number("target_ended", total.target.ended)
+	                .number("target_failed", total.target.failed)
+	                .number("others_ended", total.others.ended)
+	                .number("others_failed", total.others.failed));
 	const auto known = m_statuses.find(_rollout.order.service);
 	m_write({_rollout.order.service, _rollout.order.target, _step.state, 0},
 	    m_statuses.end() == known ? 0 : known->second.revision);
@@ -270,13 +273,13 @@
 	const steady_time now = m_clock.steady();
 	const rollout_evidence evidence = evidence_of_all(_rollout);
 	rollout_view view;
-	view.written = written_of(_rollout);
+	view.written = stored_state(_rollout);
 	view.passed = now - _rollout.known_at;
 	view.verdict = judge_version(evidence);
 	view.rank = _rank;
 	if (view.verdict.is_bad() && !_rollout.bad_since)
 	{
-		_rollout.bad_since = now; // It gets nothing more from here, whenever that is written.
+		_rollout.bad_since = now; // From now on this node sends the target no requests, written or not.
 	}
 	view.found_bad = _rollout.bad_since ? now - *_rollout.bad_since : steady_time::duration{};
 	for (const auto& [route, counts] : evidence)
@@ -291,21 +294,21 @@
 
 void rollouts::tick()
 {
-	for (auto& [service, one] : m_rollouts)
+	for (auto& [service, current] : m_rollouts)
 	{
-		one.target_serves = serves(one.order);
-		const std::optional<rollout_state> written = written_of(one);
-		if (written && rollout_state::running != *written)
+		current.target_available = is_target_available(current.order);
+		const std::optional<rollout_state> stored = stored_state(current);
+		if (stored && rollout_state::running != *stored)
 		{
 			continue;
 		}
-		one.own_bad = one.own_bad || judge_version(one.own).is_bad();
+		current.own_bad = current.own_bad || judge_version(current.own).is_bad();
 		const quota_holders deciders = m_fleet.holders_of(rendezvous_weight(service.text, 0));
-		report(one, deciders);
+		report(current, deciders);
 		const decider_rank rank = rank_of(deciders);
 		if (decider_rank::none != rank)
 		{
-			decide(one, rank);
+			decide(current, rank);
 		}
 	}
 }
--- a/src/entry_node/store_changes_codec.cpp
+++ b/src/entry_node/store_changes_codec.cpp
@@ -11,50 +11,52 @@
 {
 namespace
 {
-/// Layout of the message; differs from that of heartbeats.
+/// First field of a message of changes, its layout; differs from the layout of heartbeats.
 constexpr int k_layout = 102;
-/// Layout of a page of all keys.
+/// First field of a page of keys, its layout.
 constexpr int k_page_layout = 104;
-/// Fields of a page.
+/// Number of fields of a page.
 constexpr std::size_t k_page_fields = 4;
-/// Fields of one key of it.
+/// Number of fields of a row of a page: key, value, revision.
 constexpr std::size_t k_row_fields = 3;
-/// Bytes of keys and values in one datagram.
+/// Maximum size of the keys and values in one datagram, bytes.
 constexpr std::size_t k_datagram_bytes = 1200;
 
 /// A put or a delete.
 struct single_change
 {
 	std::int64_t revision = 0;
-	std::variant<store_value, store_delete> what;
+	std::variant<store_value, store_delete> change;
 
 	std::size_t bytes() const
 	{
-		const store_value* put = std::get_if<store_value>(&what);
-		return nullptr != put ? put->key.size() + put->value.size() : std::get<store_delete>(what).key.size();
+		const store_value* put = std::get_if<store_value>(&change);
+		return nullptr != put ? put->key.size() + put->value.size()
+		                      : std::get<store_delete>(change).key.size();
 	}
 	void move_to(watch_batch& _batch)
 	{
-		if (store_value* put = std::get_if<store_value>(&what))
+		if (store_value* put = std::get_if<store_value>(&change))
 		{
 			_batch.puts.push_back(std::move(*put));
 			return;
 		}
-		_batch.deletes.push_back(std::move(std::get<store_delete>(what)));
+		_batch.deletes.push_back(std::move(std::get<store_delete>(change)));
 	}
 };
 
-/// @returns Changes of a batch by revision.
-std::vector<single_change> in_order(const watch_batch& _batch)
+/// @returns The changes of a batch, sorted by revision.
+std::vector<single_change> sorted_by_revision(const watch_batch& _batch)
 {
 	std::vector<single_change> changes;
 	for (const store_value& value : _batch.puts)
 	{
 		changes.push_back({value.mod_revision, value});
 	}
-	for (const store_delete& gone : _batch.deletes)
+	for (const store_delete& deleted : _batch.deletes)
 	{
-		changes.push_back({0 == gone.mod_revision ? _batch.store_revision : gone.mod_revision, gone});
+		changes.push_back(
+		    {0 == deleted.mod_revision ? _batch.store_revision : deleted.mod_revision, deleted});
 	}
 	std::stable_sort(changes.begin(), changes.end(),
 	    [](const single_change& _left, const single_change& _right)
@@ -73,9 +75,9 @@
 		puts.push_back({value.key, value.value, value.mod_revision});
 	}
 	nlohmann::json deletes = nlohmann::json::array();
-	for (const store_delete& gone : _changes.batch.deletes)
+	for (const store_delete& deleted : _changes.batch.deletes)
 	{
-		deletes.push_back({gone.key, gone.mod_revision});
+		deletes.push_back({deleted.key, deleted.mod_revision});
 	}
 	const nlohmann::json document = {k_layout, _changes.after, _changes.whole, _changes.batch.store_revision,
 	    std::move(puts), std::move(deletes)};
@@ -89,7 +91,7 @@
 		const nlohmann::json document = nlohmann::json::from_cbor(_data, _data + _size);
 		if (!document.is_array() || document.empty() || k_layout != document.at(0).get<int>())
 		{
-			return error{"bad_changes", "another layout"};
+			return error{"bad_changes", "unsupported layout"};
 		}
 		store_changes changes;
 		changes.after = document.at(1).get<std::int64_t>();
@@ -129,23 +131,23 @@
 result<state_page> decode_state_page(const std::vector<std::uint8_t>& _bytes, const std::string& _after)
 {
 	const nlohmann::json document = nlohmann::json::from_cbor(_bytes, true, false);
-	const bool whole = document.is_array() && k_page_fields == document.size() &&
+	const bool valid = document.is_array() && k_page_fields == document.size() &&
 	                   k_page_layout == document[0] && document[1].is_number_integer() &&
 	                   document[2].is_boolean() && document[3].is_array();
-	if (!whole)
+	if (!valid)
 	{
-		return error{"bad_page", "no page of keys"};
+		return error{"bad_page", "not a page of keys"};
 	}
 	state_page page;
 	page.store_revision = document[1];
 	page.more = document[2];
 	for (const nlohmann::json& row : document[3])
 	{
-		const bool sound = row.is_array() && k_row_fields == row.size() && row[0].is_string() &&
-		                   row[1].is_string() && row[2].is_number_integer();
-		if (!sound)
+		const bool valid_row = row.is_array() && k_row_fields == row.size() && row[0].is_string() &&
+		                       row[1].is_string() && row[2].is_number_integer();
+		if (!valid_row)
 		{
-			return error{"bad_page", "a key that is none"};
+			return error{"bad_page", "invalid row"};
 		}
 		const std::string& last = page.values.empty() ? _after : page.values.back().key;
 		store_value value{row[0], row[1], row[2], 0};
@@ -157,7 +159,7 @@
 	}
 	if (page.store_revision <= 0 || (page.more && page.values.empty()))
 	{
-		return error{"bad_page", "a page that leads nowhere"};
+		return error{"bad_page", "a page without progress"};
 	}
 	return page;
 }
@@ -176,21 +178,22 @@
 
 std::vector<store_changes> split_for_datagrams(const store_changes& _changes)
 {
-	std::vector<single_change> ordered = in_order(_changes.batch);
+	std::vector<single_change> ordered = sorted_by_revision(_changes.batch);
 	std::vector<store_changes> parts;
 	store_changes part;
 	part.after = _changes.after;
 	std::size_t bytes = 0;
 	std::int64_t last_revision = 0;
-	for (single_change& one : ordered)
+	for (single_change& next : ordered)
 	{
-		if (one.bytes() > k_datagram_bytes)
+		if (next.bytes() > k_datagram_bytes)
 		{
 			return {};
 		}
-		// What was written together has one revision and stays together: a part tells all up to its revision.
-		const bool next_revision = 0 == bytes || last_revision != one.revision;
-		if (bytes + one.bytes() > k_datagram_bytes && next_revision)
+		// Changes that were written together have the same revision and must not be separated, because a part
+		// is complete up to its revision.
+		const bool next_revision = 0 == bytes || last_revision != next.revision;
+		if (bytes + next.bytes() > k_datagram_bytes && next_revision)
 		{
 			part.batch.store_revision = last_revision;
 			parts.push_back(std::move(part));
@@ -198,9 +201,9 @@
 			part.after = last_revision;
 			bytes = 0;
 		}
-		bytes += one.bytes();
-		last_revision = one.revision;
-		one.move_to(part.batch);
+		bytes += next.bytes();
+		last_revision = next.revision;
+		next.move_to(part.batch);
 	}
 	part.batch.store_revision = _changes.batch.store_revision;
 	parts.push_back(std::move(part));
--- a/src/entry_node/store_changes_codec_p.h
+++ b/src/entry_node/store_changes_codec_p.h
@@ -2,7 +2,10 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// CBOR codec for changes of the store's keys, as nodes tell them to each other.
+/// CBOR codec of the messages by which nodes replicate the store's keys among each other: changes in
+/// datagrams, and pages of all keys.
+///
+/// Owns nothing. Relies on state_replica_p.h for the contents.
 #pragma once
 
 #include "entry_node/state_replica_p.h"
@@ -14,18 +17,19 @@
 {
 /// @returns The changes as CBOR.
 std::vector<std::uint8_t> encode(const store_changes& _changes);
-/// @returns The changes, or an error when the bytes are none.
+/// @returns The changes, or the error "bad_changes" when the bytes are not valid.
 result<store_changes> decode_store_changes(const std::uint8_t* _data, std::size_t _size);
-/// Takes puts of a key out of a batch that fit no datagram, so that they do not hold up the
-/// other changes: these are told at once, and the value is asked for.
-/// @returns Whether any was taken out.
+/// Removes puts of a key from a batch that are too large for a datagram, so that they do not delay the other
+/// changes: the other changes are sent at once, and the receivers request the large value separately.
+/// @returns Whether any put was removed.
 bool take_out_if_large(watch_batch& _batch, const std::string& _key);
-/// Divides changes into parts that fit a datagram each.
-/// @returns Parts in order; empty when one value alone is too large.
+/// Splits changes into parts that fit into a datagram each.
+/// @returns The parts in order; empty when a single value is too large.
 std::vector<store_changes> split_for_datagrams(const store_changes& _changes);
 /// @returns The page as CBOR.
 std::vector<std::uint8_t> encode(const state_page& _page);
-/// @param[in] _after Key behind which the page was asked for.
-/// @returns The page, or the error "bad_page" when the bytes are none, or their keys are out of order.
+/// @param[in] _after Key after which the page was requested to begin.
+/// @returns The page, or the error "bad_page" when the bytes are not a valid page or its keys are out of
+/// order.
 result<state_page> decode_state_page(const std::vector<std::uint8_t>& _bytes, const std::string& _after);
 } // namespace larkrack
--- a/tests/crash_model_test.cpp
+++ b/tests/crash_model_test.cpp
@@ -318,7 +318,7 @@
 		backend.id_hash = _life;
 		if (nullptr != node.guard)
 		{
-			node.guard->on_backend_ended(backend, requests);
+			node.guard->on_backend_crashed(backend, requests);
 			return;
 		}
 		note_end(_node, request_of(_request), _life);
