--- a/src/entry_node/backend_limits.cpp
+++ b/src/entry_node/backend_limits.cpp
@@ -112,25 +112,25 @@
 	limit_message message;
 	if (const auto* request = std::get_if<quota_request>(&_message))
 	{
-		message.instance = static_cast<std::uint32_t>(request->customer);
+		message.life = static_cast<std::uint32_t>(request->customer);
 		message.tokens = *request;
 	}
 	else
 	{
 		const auto& grant = std::get<quota_grant>(_message);
-		message.instance = static_cast<std::uint32_t>(grant.customer);
+		message.life = static_cast<std::uint32_t>(grant.customer);
 		message.tokens = grant;
 	}
-	if (const backend_server* backend = m_backends.find_instance(message.instance))
+	if (const backend_server* backend = m_backends.find_instance(message.life))
 	{
 		message.word = backend->limit.word();
 		m_send(encode(message, m_clock.steady()), _ip);
 	}
 }
 
-void backend_limits::on_word(backend_server& _backend, const limit_word& _word)
+void backend_limits::on_word(backend_server& _backend, const limit_word& _limit)
 {
-	if (!apply_limit(_backend, _word))
+	if (!apply_limit(_backend, _limit))
 	{
 		return;
 	}
@@ -142,17 +142,17 @@
 	announce_limit(_backend);
 }
 
-bool backend_limits::apply_limit(backend_server& _backend, const limit_word& _word)
+bool backend_limits::apply_limit(backend_server& _backend, const limit_word& _limit)
 {
 	const limit_word before = _backend.limit.word();
-	if (!_backend.limit.hear(_word))
+	if (!_backend.limit.hear(_limit))
 	{
 		return false;
 	}
 	log_change(_backend, before);
-	if (before.per_s && _word.per_s && *_word.per_s < *before.per_s)
+	if (before.per_s && _limit.per_s && *_limit.per_s < *before.per_s)
 	{
-		m_tokens.on_limit_fell(_backend.id_hash, *_word.per_s / *before.per_s);
+		m_tokens.on_limit_fell(_backend.id_hash, *_limit.per_s / *before.per_s);
 	}
 	return true;
 }
@@ -214,7 +214,7 @@
 
 void backend_limits::on_message(const limit_message& _message, const std::string& _sender_ip)
 {
-	backend_server* backend = m_backends.find_instance(_message.instance);
+	backend_server* backend = m_backends.find_instance(_message.life);
 	if (nullptr == backend)
 	{
 		return; // This node does not know the backend server's registry entry yet.
--- a/src/entry_node/backend_words.cpp
+++ b/src/entry_node/backend_words.cpp
@@ -12,17 +12,17 @@
 {
 }
 
-void backend_words::on_words(const backend_ptr& _backend, const answer_words& _words)
+void backend_words::on_words(const backend_ptr& _backend, const answer_words& _reports)
 {
-	if (_words.limit)
+	if (_reports.limit)
 	{
-		m_limits.on_word(*_backend, *_words.limit);
+		m_limits.on_word(*_backend, *_reports.limit);
 	}
-	if (_words.rest)
+	if (_reports.rest)
 	{
-		on_rest(_backend, *_words.rest);
+		on_rest(_backend, *_reports.rest);
 	}
-	if (_words.leaving)
+	if (_reports.leaving)
 	{
 		on_leaving(*_backend);
 	}
--- a/src/entry_node/backend_words_p.h
+++ b/src/entry_node/backend_words_p.h
@@ -26,7 +26,7 @@
 	backend_words(asio::io_context& _context, const clock_base& _clock, limit_gate_base& _limits,
 	    entry_log& _log, std::function<void()> _on_rest_end);
 
-	void on_words(const backend_ptr& _backend, const answer_words& _words) override;
+	void on_words(const backend_ptr& _backend, const answer_words& _reports) override;
 	/// @returns Number of backend servers that currently want no requests from this node.
 	std::size_t resting() const
 	{
--- a/src/entry_node/crash_messages.cpp
+++ b/src/entry_node/crash_messages.cpp
@@ -37,11 +37,11 @@
 	return {};
 }
 
-message_values values_of(const block_news& _news)
+message_values values_of(const block_news& _update)
 {
 	const std::uint64_t flags =
-	    (_news.block.blocked ? k_blocked_bit : 0) | (_news.tells_on ? k_forward_bit : 0);
-	return {{flags, _news.block.number, _news.block.looks, _news.block.versions}};
+	    (_update.block.blocked ? k_blocked_bit : 0) | (_update.tells_on ? k_forward_bit : 0);
+	return {{flags, _update.block.number, _update.block.looks, _update.block.versions}};
 }
 
 message_values values_of(const look_request& _request)
@@ -59,9 +59,9 @@
 	return {};
 }
 
-const request_fingerprint& request_of(const block_news& _news)
+const request_fingerprint& request_of(const block_news& _update)
 {
-	return _news.block.request;
+	return _update.block.request;
 }
 
 template <typename Message>
--- a/src/entry_node/limit_messages.cpp
+++ b/src/entry_node/limit_messages.cpp
@@ -32,15 +32,15 @@
 }
 
 /// @returns Array of the age in milliseconds and, if there is a limit, the scaled limit.
-nlohmann::json limit_to_json(const limit_word& _word, steady_time _now)
+nlohmann::json limit_to_json(const limit_word& _limit, steady_time _now)
 {
-	const auto age = std::chrono::duration_cast<std::chrono::milliseconds>(_now - _word.said_at).count();
+	const auto age = std::chrono::duration_cast<std::chrono::milliseconds>(_now - _limit.said_at).count();
 	nlohmann::json fields = nlohmann::json::array();
 	fields.push_back(
 	    std::clamp<std::uint64_t>(age < 0 ? 0 : static_cast<std::uint64_t>(age), 0, k_max_age_ms));
-	if (_word.per_s)
+	if (_limit.per_s)
 	{
-		fields.push_back(static_cast<std::uint64_t>(std::llround(*_word.per_s * k_limit_scale)));
+		fields.push_back(static_cast<std::uint64_t>(std::llround(*_limit.per_s * k_limit_scale)));
 	}
 	return fields;
 }
@@ -53,10 +53,10 @@
 	{
 		return std::nullopt;
 	}
-	limit_word word{std::nullopt, _now - std::chrono::milliseconds(_fields[0].get<std::int64_t>())};
+	limit_word limit{std::nullopt, _now - std::chrono::milliseconds(_fields[0].get<std::int64_t>())};
 	if (1 == _fields.size())
 	{
-		return word;
+		return limit;
 	}
 	if (!_fields[1].is_number_unsigned())
 	{
@@ -67,8 +67,8 @@
 	{
 		return std::nullopt;
 	}
-	word.per_s = per_s;
-	return word;
+	limit.per_s = per_s;
+	return limit;
 }
 
 bool is_count(const nlohmann::json& _field)
@@ -95,8 +95,7 @@
 		count = grant->granted;
 		last = static_cast<std::uint64_t>(grant->wait.count());
 	}
-	const nlohmann::json document = {
-	    layout, _message.instance, count, last, limit_to_json(_message.word, _now)};
+	const nlohmann::json document = {layout, _message.life, count, last, limit_to_json(_message.word, _now)};
 	return nlohmann::json::to_cbor(document);
 }
 
@@ -117,22 +116,22 @@
 	{
 		return decode_error("a field is not a valid count");
 	}
-	const std::optional<limit_word> word = limit_of_json(document[4], _now);
-	if (!word || document[1].get<std::uint64_t>() > std::numeric_limits<std::uint32_t>::max())
+	const std::optional<limit_word> limit = limit_of_json(document[4], _now);
+	if (!limit || document[1].get<std::uint64_t>() > std::numeric_limits<std::uint32_t>::max())
 	{
 		return decode_error("invalid limit or backend server instance");
 	}
-	limit_message message{document[1], *word, {}};
+	limit_message message{document[1], *limit, {}};
 	const auto layout = document[0].get<std::uint64_t>();
 	const auto count = document[2].get<std::uint16_t>();
 	const auto last = document[3].get<std::uint16_t>();
 	if (k_request_layout == layout && count >= 1 && last <= static_cast<int>(lender_rank::stand_in))
 	{
-		message.tokens = quota_request{message.instance, count, static_cast<lender_rank>(last)};
+		message.tokens = quota_request{message.life, count, static_cast<lender_rank>(last)};
 	}
 	else if (k_grant_layout == layout)
 	{
-		message.tokens = quota_grant{message.instance, count, std::chrono::milliseconds(last)};
+		message.tokens = quota_grant{message.life, count, std::chrono::milliseconds(last)};
 	}
 	else if (k_limit_layout != layout)
 	{
--- a/src/entry_node/limit_messages_p.h
+++ b/src/entry_node/limit_messages_p.h
@@ -23,7 +23,7 @@
 /// Message from one node to another about the limit of a backend server.
 struct limit_message
 {
-	std::uint32_t instance = 0; ///< life_hash() of the backend server.
+	std::uint32_t life = 0; ///< life_hash() of the backend server.
 	limit_word word; ///< The reported limit; its time is in terms of the local clock of sender or receiver.
 	/// Request for tokens or the reply to one, with the instance in place of the customer. Neither: the
 	/// message carries the limit alone.
--- a/tests/crash_model_test.cpp
+++ b/tests/crash_model_test.cpp
@@ -2,9 +2,10 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Requests that end backend servers, in whole fleets of three regions on a virtual clock: datagrams that
-/// take time and get lost, nodes that die and start anew. Three ways of one interface: two nodes that count a
-/// request's ends for all, each end told to all nodes, and each node by itself.
+/// Model of requests that crash backend servers, in whole fleets of three regions on a virtual clock.
+/// Datagrams are delayed and lost, nodes fail and restart. Compares three strategies: two counting nodes that
+/// collect the crashes of a request from all nodes (the one in use), each crash reported to all nodes, and
+/// each node on its own.
 
 #include "fixtures.h"
 #include "model_view.h"
@@ -23,24 +24,25 @@
 using ms = std::chrono::milliseconds;
 
 constexpr ms k_step{5};
-constexpr ms k_far{35};   ///< One way between two regions.
-constexpr ms k_near{1};   ///< Within one.
-constexpr ms k_runs{80};  ///< From the begin of the request to the end of its server.
-constexpr ms k_work{300}; ///< Of an innocent request.
-constexpr std::uint64_t k_beside =
-    8;                              ///< Innocent requests on each server that ends, of the node that sees it.
-constexpr ms k_contact{4000};       ///< Longest time for the word of an end to be known everywhere.
-constexpr std::size_t k_blamed = 3; ///< Ends after which the request has shown what it does.
-constexpr std::size_t k_sends_after = 3; ///< In all, later than k_contact after that.
+constexpr ms k_delay_between_regions{35}; ///< One way.
+constexpr ms k_delay_in_region{1};        ///< One way.
+constexpr ms k_time_to_crash{80};         ///< From the start of a crashing request to the crash.
+constexpr ms k_work{300};                 ///< Run time of an innocent request.
+/// Innocent requests of the observing node that run on each crashing server.
+constexpr std::uint64_t k_concurrent = 8;
+constexpr ms k_max_propagation{4000}; ///< Maximum time until all nodes know of a crash.
+constexpr std::size_t k_blamed = 3;   ///< Crashes after which a request is to be blocked.
+/// Maximum number of sends of a request, by all nodes, later than k_max_propagation after its third crash.
+constexpr std::size_t k_max_late_sends = 3;
 
 constexpr std::uint64_t k_crashing = 100; ///< The first of the crashing requests.
 constexpr std::uint64_t k_innocent = 5;
 
-enum class crash_way
+enum class crash_strategy
 {
-	counted,  ///< As the program does.
-	told_all, ///< Each end to each node, which counts by itself.
-	alone,    ///< Each node by what it saw.
+	counting_nodes, ///< As implemented in crash_guard.
+	broadcast,      ///< Each crash is reported to each node, and each node counts.
+	isolated,       ///< Each node counts only the crashes that it observes.
 };
 
 request_fingerprint request_of(std::uint64_t _number)
@@ -49,12 +51,12 @@
 	return {hash, hash, 7};
 }
 
-/// A fleet, and requests that end the backend servers that run them.
+/// A fleet, and requests that crash the backend servers that run them.
 class crash_model
 {
 public:
-	crash_model(crash_way _way, int _nodes, double _loss, unsigned _seed)
-	    : m_way(_way), m_loss(_loss), m_random(_seed), m_nodes(static_cast<std::size_t>(_nodes))
+	crash_model(crash_strategy _strategy, int _nodes, double _loss, unsigned _seed)
+	    : m_strategy(_strategy), m_loss(_loss), m_random(_seed), m_nodes(static_cast<std::size_t>(_nodes))
 	{
 		m_clock.advance(ms(1000));
 		for (int i = 0; i < _nodes; ++i)
@@ -63,38 +65,38 @@
 		}
 		refresh_views();
 	}
-	/// Requests arrive at random nodes, each at its own pace.
-	/// @param[in] _gap Between two arrivals of a request; 0: it does not come.
-	/// @param[in] _crashing Requests that end backend servers, of different fingerprints.
-	void run(ms _time, ms _gap, int _crashing = 1)
+	/// Advances the clock while crashing requests arrive at random nodes.
+	/// @param[in] _interval Time between two arrivals of a request; 0: none arrives.
+	/// @param[in] _crashing Number of crashing requests with different fingerprints.
+	void run(ms _time, ms _interval, int _crashing = 1)
 	{
 		const steady_time until = m_clock.steady() + _time;
 		steady_time next = m_clock.steady();
 		while (m_clock.steady() < until)
 		{
 			step();
-			for (; ms(0) != _gap && next <= m_clock.steady(); next += _gap)
+			for (; ms(0) != _interval && next <= m_clock.steady(); next += _interval)
 			{
 				for (int i = 0; i < _crashing; ++i)
 				{
-					arrive(any_node(), k_crashing + static_cast<std::uint64_t>(i));
+					arrive_crashing(any_node(), k_crashing + static_cast<std::uint64_t>(i));
 				}
 			}
 		}
 	}
-	/// A request that is innocent comes.
-	/// @param[in] _beside Whether it runs beside one that ends its server.
-	void arrive_innocent(int _node, std::uint64_t _request, bool _beside)
+	/// An innocent request arrives.
+	/// @param[in] _server_crashes Whether another request crashes its server while it runs.
+	void arrive_innocent(int _node, std::uint64_t _request, bool _server_crashes)
 	{
-		come(_node, _request, _beside, false);
+		arrive(_node, _request, _server_crashes, false);
 	}
-	/// A backend server ends by itself, with a request of each of some nodes on it.
-	void end_beside(const std::vector<int>& _nodes, std::uint64_t _request)
+	/// A backend server crashes on its own while it runs a request of each of the given nodes.
+	void crash_server(const std::vector<int>& _nodes, std::uint64_t _request)
 	{
-		const std::uint32_t life = ++m_lives;
+		const std::uint32_t instance = ++m_instances;
 		for (const int node : _nodes)
 		{
-			saw_end(node, _request, life);
+			observe_crash(node, _request, instance);
 		}
 	}
 	void serve(int _node, std::uint64_t _request)
@@ -108,7 +110,7 @@
 	{
 		at(_node).dead = true;
 	}
-	/// Starts a node without any memory but what stands in the store.
+	/// Starts a node that has no state except for the contents of the store.
 	void start(int _node)
 	{
 		model_node& node = at(_node);
@@ -116,8 +118,8 @@
 		node.guard.reset();
 		node.view = std::make_unique<model_view>();
 		node.view->self = _node;
-		node.seen = std::make_unique<crash_evidence>();
-		if (crash_way::counted == m_way)
+		node.evidence = std::make_unique<crash_evidence>();
+		if (crash_strategy::counting_nodes == m_strategy)
 		{
 			node.guard = std::make_unique<crash_guard>(
 			    m_context, m_clock, *node.view, m_registry, model_region_of(_node), m_log,
@@ -151,27 +153,29 @@
 	{
 		return static_cast<int>(m_nodes.size());
 	}
-	std::size_t ended() const
+	/// @returns Number of crashes that crashing requests caused.
+	std::size_t crashes() const
 	{
-		return m_ends.size();
+		return m_crashes.size();
 	}
-	/// @returns Sends of a request later than its third end and the time for all to know.
-	std::size_t sends_after(std::uint64_t _request) const
+	/// @returns Number of sends of a request later than k_max_propagation after its third crash.
+	std::size_t late_sends(std::uint64_t _request) const
 	{
-		const auto ends = m_ends_of.find(_request);
+		const auto crash_times = m_crashes_of.find(_request);
 		const auto sends = m_sends_of.find(_request);
-		if (m_ends_of.end() == ends || ends->second.size() < k_blamed || m_sends_of.end() == sends)
+		if (m_crashes_of.end() == crash_times || crash_times->second.size() < k_blamed ||
+		    m_sends_of.end() == sends)
 		{
 			return 0;
 		}
-		const steady_time known = ends->second[k_blamed - 1] + k_contact;
+		const steady_time known = crash_times->second[k_blamed - 1] + k_max_propagation;
 		return static_cast<std::size_t>(std::count_if(sends->second.begin(), sends->second.end(),
 		    [known](steady_time _at)
 		    {
 			    return _at > known;
 		    }));
 	}
-	/// @returns Live nodes that would send a request on.
+	/// @returns Number of live nodes that would forward a request.
 	std::size_t open_nodes(std::uint64_t _request)
 	{
 		std::size_t open = 0;
@@ -181,11 +185,11 @@
 		}
 		return open;
 	}
-	/// Runs until no live node would send a request on.
-	/// @returns Time from the third end.
-	ms time_until_all_know(std::uint64_t _request)
+	/// Runs until no live node would forward a request.
+	/// @returns Time since the third crash.
+	ms time_until_blocked_everywhere(std::uint64_t _request)
 	{
-		const steady_time third = m_ends_of.at(_request).at(k_blamed - 1);
+		const steady_time third = m_crashes_of.at(_request).at(k_blamed - 1);
 		while (open_nodes(_request) > 0 && m_clock.steady() - third < ms(60000))
 		{
 			step();
@@ -209,9 +213,9 @@
 	struct model_node
 	{
 		std::unique_ptr<model_view> view;
-		std::unique_ptr<crash_guard> guard;
-		std::unique_ptr<crash_evidence> seen; ///< Of the other ways.
-		std::set<request_fingerprint> blocked;
+		std::unique_ptr<crash_guard> guard;       ///< With counting nodes.
+		std::unique_ptr<crash_evidence> evidence; ///< With the other strategies.
+		std::set<request_fingerprint> blocked;    ///< With the other strategies.
 		bool dead = false;
 	};
 
@@ -230,11 +234,11 @@
 	}
 	ms delay_to(int _from, int _to) const
 	{
-		return _from % k_model_regions == _to % k_model_regions ? k_near : k_far;
+		return _from % k_model_regions == _to % k_model_regions ? k_delay_in_region : k_delay_between_regions;
 	}
-	void later(ms _delay, std::function<void()> _what)
+	void schedule(ms _delay, std::function<void()> _action)
 	{
-		m_due.emplace(m_clock.steady() + _delay, std::move(_what));
+		m_due.emplace(m_clock.steady() + _delay, std::move(_action));
 	}
 	block_decision decide(int _node, std::uint64_t _request)
 	{
@@ -245,16 +249,18 @@
 		return 0 == at(_node).blocked.count(request_of(_request)) ? block_decision::open
 		                                                          : block_decision::refuse;
 	}
-	void arrive(int _node, std::uint64_t _request)
+	void arrive_crashing(int _node, std::uint64_t _request)
 	{
-		come(_node, _request, true, true);
+		arrive(_node, _request, true, true);
 	}
-	void come(int _node, std::uint64_t _request, bool _ends, bool _crashing)
+	/// @param[in] _server_crashes Whether the server crashes while it runs the request.
+	/// @param[in] _crashing Whether the request itself causes the crash.
+	void arrive(int _node, std::uint64_t _request, bool _server_crashes, bool _crashing)
 	{
 		const block_decision decision = decide(_node, _request);
 		if (block_decision::open == decision)
 		{
-			send_on(_node, _request, _ends, _crashing);
+			forward(_node, _request, _server_crashes, _crashing);
 			return;
 		}
 		if (block_decision::refuse == decision)
@@ -268,41 +274,41 @@
 			    m_refused[_request] += _granted ? 0 : 1;
 			    if (_granted)
 			    {
-				    send_on(
-				        _node, _request, _crashing, _crashing); // Alone, so that an innocent one is served.
+				    // No other request runs on the server, so an innocent request is served.
+				    forward(_node, _request, _crashing, _crashing);
 			    }
 		    });
 	}
-	void send_on(int _node, std::uint64_t _request, bool _ends, bool _crashing)
+	void forward(int _node, std::uint64_t _request, bool _server_crashes, bool _crashing)
 	{
 		m_sends_of[_request].push_back(m_clock.steady());
-		if (!_ends)
+		if (!_server_crashes)
 		{
-			later(k_work,
+			schedule(k_work,
 			    [this, _node, _request]
 			    {
 				    serve(_node, _request);
 			    });
 			return;
 		}
-		const std::uint32_t life = ++m_lives;
-		later(delay_to(_node, 0) + k_runs,
-		    [this, _node, _request, life, _crashing]
+		const std::uint32_t instance = ++m_instances;
+		schedule(delay_to(_node, 0) + k_time_to_crash,
+		    [this, _node, _request, instance, _crashing]
 		    {
 			    if (_crashing)
 			    {
-				    m_ends.push_back(m_clock.steady());
-				    m_ends_of[_request].push_back(m_clock.steady());
+				    m_crashes.push_back(m_clock.steady());
+				    m_crashes_of[_request].push_back(m_clock.steady());
 			    }
-			    // The connection breaks, and a new one is refused.
-			    later(3 * delay_to(_node, 0),
-			        [this, _node, _request, life]
+			    // The connection breaks, and the probe's connection is refused.
+			    schedule(3 * delay_to(_node, 0),
+			        [this, _node, _request, instance]
 			        {
-				        saw_end(_node, _request, life);
+				        observe_crash(_node, _request, instance);
 			        });
 		    });
 	}
-	void saw_end(int _node, std::uint64_t _request, std::uint32_t _life)
+	void observe_crash(int _node, std::uint64_t _request, std::uint32_t _instance)
 	{
 		model_node& node = at(_node);
 		if (node.dead)
@@ -310,33 +316,33 @@
 			return;
 		}
 		std::vector<request_fingerprint> requests{request_of(_request)};
-		for (std::uint64_t i = 0; i < k_beside; ++i)
+		for (std::uint64_t i = 0; i < k_concurrent; ++i)
 		{
-			requests.push_back(request_of(1000000 + k_beside * _life + i));
+			requests.push_back(request_of(1000000 + k_concurrent * _instance + i));
 		}
 		backend_server backend;
-		backend.id_hash = _life;
+		backend.id_hash = _instance;
 		if (nullptr != node.guard)
 		{
 			node.guard->on_backend_crashed(backend, requests);
 			return;
 		}
-		note_end(_node, request_of(_request), _life);
-		for (int other = 0; crash_way::told_all == m_way && other < nodes(); ++other)
+		count_crash(_node, request_of(_request), _instance);
+		for (int other = 0; crash_strategy::broadcast == m_strategy && other < nodes(); ++other)
 		{
 			for (const request_fingerprint& request : requests)
 			{
 				if (other != _node)
 				{
-					send(_node, other, encode(end_report{request, _life, false}));
+					send(_node, other, encode(end_report{request, _instance, false}));
 				}
 			}
 		}
 	}
-	void note_end(int _node, const request_fingerprint& _request, std::uint32_t _life)
+	void count_crash(int _node, const request_fingerprint& _request, std::uint32_t _instance)
 	{
 		model_node& node = at(_node);
-		if (node.seen->on_end(_request, {_life, _request.caller, false, m_clock.steady()}))
+		if (node.evidence->on_end(_request, {_instance, _request.caller, false, m_clock.steady()}))
 		{
 			node.blocked.insert(_request);
 		}
@@ -349,7 +355,7 @@
 		{
 			return;
 		}
-		later(delay_to(_from, _to),
+		schedule(delay_to(_from, _to),
 		    [this, _from, _to, _bytes]
 		    {
 			    if (at(_to).dead)
@@ -363,17 +369,17 @@
 				    return;
 			    }
 			    const end_report& report = std::get<end_report>(*value_of(decoded));
-			    note_end(_to, report.request, report.life);
+			    count_crash(_to, report.request, report.life);
 		    });
 	}
-	/// The store keeps it, and tells all nodes a moment later.
+	/// Writes a block to the store, which informs all nodes after a delay.
 	void write(const request_block& _block)
 	{
 		if (m_store_down)
 		{
 			return;
 		}
-		later(k_far,
+		schedule(k_delay_between_regions,
 		    [this, _block]
 		    {
 			    if (_block.blocked)
@@ -385,7 +391,7 @@
 				    m_store.erase(_block.request);
 			    }
 		    });
-		later(ms(300),
+		schedule(ms(300),
 		    [this, _block]
 		    {
 			    for (model_node& node : m_nodes)
@@ -407,9 +413,9 @@
 		++m_steps;
 		while (!m_due.empty() && m_due.begin()->first <= m_clock.steady())
 		{
-			const std::function<void()> what = std::move(m_due.begin()->second);
+			const std::function<void()> action = std::move(m_due.begin()->second);
 			m_due.erase(m_due.begin());
-			what();
+			action();
 		}
 		for (model_node& node : m_nodes)
 		{
@@ -421,18 +427,18 @@
 	}
 	void refresh(model_node& _node)
 	{
-		std::vector<int> seen;
+		std::vector<int> reachable;
 		for (int i = 0; i < nodes(); ++i)
 		{
 			if (i == _node.view->self || !at(i).dead)
 			{
-				seen.push_back(i);
+				reachable.push_back(i);
 			}
 		}
-		_node.view->set_seen(seen);
+		_node.view->set_seen(reachable);
 	}
 
-	crash_way m_way;
+	crash_strategy m_strategy;
 	double m_loss;
 	std::minstd_rand m_random;
 	asio::io_context m_context{1};
@@ -443,22 +449,25 @@
 	std::multimap<steady_time, std::function<void()>> m_due;
 	std::map<request_fingerprint, request_block> m_store;
 	std::map<std::uint64_t, std::vector<steady_time>> m_sends_of;
-	std::map<std::uint64_t, std::vector<steady_time>> m_ends_of;
+	std::map<std::uint64_t, std::vector<steady_time>> m_crashes_of;
 	std::map<std::uint64_t, std::size_t> m_refused;
-	std::vector<steady_time> m_ends;
-	std::uint32_t m_lives = 0;
+	std::vector<steady_time> m_crashes;
+	std::uint32_t m_instances = 0;
 	std::size_t m_datagrams = 0;
 	std::size_t m_bytes = 0;
 	int m_steps = 0;
 	bool m_store_down = false;
 };
 
-const char* name_of(crash_way _way)
+const char* name_of(crash_strategy _strategy)
 {
-	return crash_way::counted == _way ? "counted" : crash_way::told_all == _way ? "told to all" : "alone";
+	return crash_strategy::counting_nodes == _strategy ? "counted"
+	       : crash_strategy::broadcast == _strategy    ? "told to all"
+	                                                   : "alone";
 }
 
-bool figures_wanted()
+/// @returns Whether the tests print their measurements.
+bool prints_measurements()
 {
 	return nullptr != std::getenv("LARKRACK_FIGURES");
 }
@@ -467,22 +476,22 @@
 class crash_model_test : public CppUnit::TestFixture
 {
 	CPPUNIT_TEST_SUITE(crash_model_test);
-	CPPUNIT_TEST(request_that_comes_at_all_nodes_is_held_off_at_any_size);
-	CPPUNIT_TEST(each_node_by_itself_never_stops_it_in_a_large_fleet);
-	CPPUNIT_TEST(lost_datagrams_keep_no_node_from_knowing);
-	CPPUNIT_TEST(node_that_counts_and_dies_is_replaced);
-	CPPUNIT_TEST(nodes_that_all_lose_power_know_it_by_the_store);
-	CPPUNIT_TEST(store_that_is_away_is_not_needed_and_gets_it_later);
-	CPPUNIT_TEST(request_that_comes_rarely_is_held_off_too);
-	CPPUNIT_TEST(hundred_different_requests_end_a_bounded_number_each);
-	CPPUNIT_TEST(innocent_request_beside_it_is_served_again_within_a_second);
-	CPPUNIT_TEST(popular_request_is_refused_never_while_servers_end_by_themselves);
-	CPPUNIT_TEST(nodes_are_silent_while_no_server_ends);
+	CPPUNIT_TEST(request_that_arrives_at_all_nodes_is_blocked_in_fleets_of_any_size);
+	CPPUNIT_TEST(isolated_nodes_never_block_it_in_a_large_fleet);
+	CPPUNIT_TEST(lost_datagrams_do_not_prevent_any_node_from_blocking);
+	CPPUNIT_TEST(counting_node_that_fails_is_replaced);
+	CPPUNIT_TEST(nodes_that_all_restart_restore_blocks_from_the_store);
+	CPPUNIT_TEST(unreachable_store_does_not_prevent_blocking_and_is_written_later);
+	CPPUNIT_TEST(request_that_arrives_rarely_is_blocked_too);
+	CPPUNIT_TEST(hundred_different_requests_cause_a_bounded_number_of_crashes_each);
+	CPPUNIT_TEST(innocent_concurrent_request_is_served_again_within_a_second);
+	CPPUNIT_TEST(popular_request_is_never_refused_while_servers_crash_on_their_own);
+	CPPUNIT_TEST(nodes_send_nothing_while_no_server_crashes);
 	CPPUNIT_TEST_SUITE_END();
 
 protected:
-	/// LARKRACK_LARGE=1 plays 2,000 nodes too.
-	void request_that_comes_at_all_nodes_is_held_off_at_any_size()
+	/// With the environment variable LARKRACK_LARGE set, includes a fleet of 2,000 nodes.
+	void request_that_arrives_at_all_nodes_is_blocked_in_fleets_of_any_size()
 	{
 		std::vector<int> sizes{9, 300, 1000};
 		if (nullptr != std::getenv("LARKRACK_LARGE"))
@@ -491,112 +500,114 @@
 		}
 		for (const int nodes : sizes)
 		{
-			for (const crash_way way : {crash_way::counted, crash_way::told_all})
+			for (const crash_strategy strategy : {crash_strategy::counting_nodes, crash_strategy::broadcast})
 			{
-				crash_model model(way, nodes, 0.0, 1);
-				while (model.ended() < k_blamed)
+				crash_model model(strategy, nodes, 0.0, 1);
+				while (model.crashes() < k_blamed)
 				{
 					model.run(ms(200), ms(200));
 				}
-				const ms known = model.time_until_all_know(k_crashing);
+				const ms known = model.time_until_blocked_everywhere(k_crashing);
 				model.run(ms(6000), ms(200));
-				if (figures_wanted())
+				if (prints_measurements())
 				{
-					std::cout << name_of(way) << ", nodes " << nodes << ": ended " << model.ended()
-					          << ", sends after " << model.sends_after(k_crashing) << ", all knew after "
+					std::cout << name_of(strategy) << ", nodes " << nodes << ": ended " << model.crashes()
+					          << ", sends after " << model.late_sends(k_crashing) << ", all knew after "
 					          << known.count() << " ms, datagrams " << model.datagrams() << ", bytes "
 					          << model.bytes() << "\n";
 				}
-				CPPUNIT_ASSERT(crash_way::counted != way || known <= k_contact);
-				CPPUNIT_ASSERT(crash_way::counted != way || model.sends_after(k_crashing) <= k_sends_after);
+				CPPUNIT_ASSERT(crash_strategy::counting_nodes != strategy || known <= k_max_propagation);
+				CPPUNIT_ASSERT(crash_strategy::counting_nodes != strategy ||
+				               model.late_sends(k_crashing) <= k_max_late_sends);
 			}
 		}
 	}
 
-	void each_node_by_itself_never_stops_it_in_a_large_fleet()
+	void isolated_nodes_never_block_it_in_a_large_fleet()
 	{
-		crash_model model(crash_way::alone, 300, 0.0, 1);
+		crash_model model(crash_strategy::isolated, 300, 0.0, 1);
 		model.run(ms(10000), ms(200));
-		CPPUNIT_ASSERT(model.sends_after(k_crashing) > 5 * k_sends_after);
+		CPPUNIT_ASSERT(model.late_sends(k_crashing) > 5 * k_max_late_sends);
 	}
 
-	void lost_datagrams_keep_no_node_from_knowing()
+	void lost_datagrams_do_not_prevent_any_node_from_blocking()
 	{
 		for (unsigned seed = 1; seed <= 5; ++seed)
 		{
-			crash_model model(crash_way::counted, 60, 0.1, seed);
+			crash_model model(crash_strategy::counting_nodes, 60, 0.1, seed);
 			model.run(ms(12000), ms(100));
 			CPPUNIT_ASSERT_EQUAL(std::size_t(0), model.open_nodes(k_crashing));
-			CPPUNIT_ASSERT(model.sends_after(k_crashing) <= k_sends_after);
+			CPPUNIT_ASSERT(model.late_sends(k_crashing) <= k_max_late_sends);
 		}
 	}
 
-	void node_that_counts_and_dies_is_replaced()
+	void counting_node_that_fails_is_replaced()
 	{
 		for (int victim = 0; victim < 9; ++victim)
 		{
-			crash_model model(crash_way::counted, 9, 0.0, 2);
+			crash_model model(crash_strategy::counting_nodes, 9, 0.0, 2);
 			model.run(ms(150), ms(200));
 			model.kill(victim);
 			model.run(ms(900), ms(200));
 			model.refresh_views();
 			model.run(ms(9000), ms(200));
-			CPPUNIT_ASSERT(model.sends_after(k_crashing) <= k_sends_after);
+			CPPUNIT_ASSERT(model.late_sends(k_crashing) <= k_max_late_sends);
 			CPPUNIT_ASSERT_EQUAL(std::size_t(0), model.open_nodes(k_crashing));
 		}
 	}
 
-	void nodes_that_all_lose_power_know_it_by_the_store()
+	void nodes_that_all_restart_restore_blocks_from_the_store()
 	{
-		crash_model model(crash_way::counted, 9, 0.0, 3);
+		crash_model model(crash_strategy::counting_nodes, 9, 0.0, 3);
 		model.run(ms(6000), ms(200));
-		const std::size_t ended = model.ended();
+		const std::size_t crashes = model.crashes();
 		for (int node = 0; node < 9; ++node)
 		{
 			model.start(node);
 		}
 		model.refresh_views();
 		model.run(ms(6000), ms(200));
-		CPPUNIT_ASSERT_EQUAL(ended, model.ended());
+		CPPUNIT_ASSERT_EQUAL(crashes, model.crashes());
 	}
 
-	void store_that_is_away_is_not_needed_and_gets_it_later()
+	void unreachable_store_does_not_prevent_blocking_and_is_written_later()
 	{
-		crash_model model(crash_way::counted, 9, 0.0, 4);
+		crash_model model(crash_strategy::counting_nodes, 9, 0.0, 4);
 		model.set_store_down(true);
 		model.run(ms(8000), ms(200));
-		CPPUNIT_ASSERT(model.sends_after(k_crashing) <= k_sends_after);
+		CPPUNIT_ASSERT(model.late_sends(k_crashing) <= k_max_late_sends);
 		model.set_store_down(false);
 		model.run(ms(5000), ms(0));
-		const std::size_t ended = model.ended();
+		const std::size_t crashes = model.crashes();
 		model.start(0);
 		model.refresh_views();
 		model.run(ms(5000), ms(50));
-		CPPUNIT_ASSERT_EQUAL(ended, model.ended());
+		CPPUNIT_ASSERT_EQUAL(crashes, model.crashes());
 	}
 
-	void request_that_comes_rarely_is_held_off_too()
+	void request_that_arrives_rarely_is_blocked_too()
 	{
-		crash_model model(crash_way::counted, 9, 0.0, 5);
+		crash_model model(crash_strategy::counting_nodes, 9, 0.0, 5);
 		model.run(ms(360000), ms(30000));
-		CPPUNIT_ASSERT(model.sends_after(k_crashing) <= k_sends_after);
-		CPPUNIT_ASSERT(model.ended() <= 2 * k_blamed);
+		CPPUNIT_ASSERT(model.late_sends(k_crashing) <= k_max_late_sends);
+		CPPUNIT_ASSERT(model.crashes() <= 2 * k_blamed);
 	}
 
-	void hundred_different_requests_end_a_bounded_number_each()
+	void hundred_different_requests_cause_a_bounded_number_of_crashes_each()
 	{
-		crash_model model(crash_way::counted, 9, 0.0, 6);
+		crash_model model(crash_strategy::counting_nodes, 9, 0.0, 6);
 		model.run(ms(8000), ms(500), 100);
 		CPPUNIT_ASSERT_MESSAGE(
-		    std::to_string(model.ended()), model.ended() <= std::size_t(100) * 2 * k_blamed);
+		    std::to_string(model.crashes()), model.crashes() <= std::size_t(100) * 2 * k_blamed);
 	}
 
-	/// Guards against an innocent request that is held off for what another one did beside it.
-	void innocent_request_beside_it_is_served_again_within_a_second()
+	/// Guards against an innocent request that stays blocked because another request repeatedly crashed the
+	/// server that ran both.
+	void innocent_concurrent_request_is_served_again_within_a_second()
 	{
 		for (unsigned seed = 1; seed <= 5; ++seed)
 		{
-			crash_model model(crash_way::counted, 9, 0.0, seed);
+			crash_model model(crash_strategy::counting_nodes, 9, 0.0, seed);
 			for (int i = 0; i < 3; ++i)
 			{
 				model.arrive_innocent(i, k_innocent, true);
@@ -609,9 +620,9 @@
 		}
 	}
 
-	void popular_request_is_refused_never_while_servers_end_by_themselves()
+	void popular_request_is_never_refused_while_servers_crash_on_their_own()
 	{
-		crash_model model(crash_way::counted, 9, 0.0, 7);
+		crash_model model(crash_strategy::counting_nodes, 9, 0.0, 7);
 		for (int second = 0; second < 10; ++second)
 		{
 			for (int i = 0; i < 20; ++i)
@@ -620,13 +631,13 @@
 				model.run(ms(50), ms(0));
 				CPPUNIT_ASSERT_EQUAL(std::size_t(9), model.open_nodes(k_innocent));
 			}
-			model.end_beside({0, 3, 6}, k_innocent);
+			model.crash_server({0, 3, 6}, k_innocent);
 		}
 	}
 
-	void nodes_are_silent_while_no_server_ends()
+	void nodes_send_nothing_while_no_server_crashes()
 	{
-		crash_model model(crash_way::counted, 30, 0.0, 8);
+		crash_model model(crash_strategy::counting_nodes, 30, 0.0, 8);
 		for (int i = 0; i < 100; ++i)
 		{
 			model.serve(i % 30, 1000 + static_cast<std::uint64_t>(i));
--- a/tests/crashing_request_test.cpp
+++ b/tests/crashing_request_test.cpp
@@ -2,7 +2,8 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// A request that ends each backend server that runs it, and that comes again at any node under another id.
+/// A request that crashes each backend server that runs it, and arrives again and again at any node, each
+/// time with another request id. Runs nine nodes and eight backend servers on real sockets.
 
 #include "node_group_fixture.h"
 
@@ -14,23 +15,24 @@
 {
 using ms = std::chrono::milliseconds;
 
-constexpr ms k_work{20};         ///< From the begin of a request to its answer, or to the end of its server.
-constexpr ms k_down{400};        ///< From the end of a backend server to the next start at its place.
-constexpr ms k_comes_again{90};  ///< Between two arrivals of the crashing request.
-constexpr ms k_pause{15};        ///< Between two other requests.
-constexpr ms k_known_after{500}; ///< From the third crash until all nodes have to know.
-constexpr ms k_played{4000};
+constexpr ms k_work{20};              ///< From the start of a request to its response or to the crash.
+constexpr ms k_down{400};             ///< From the crash of a backend server to the start of its successor.
+constexpr ms k_crashing_interval{90}; ///< Between two arrivals of the crashing request.
+constexpr ms k_request_interval{15};  ///< Between two requests of any kind.
+constexpr ms k_max_propagation{500};  ///< From the third crash until all nodes are to block the request.
+constexpr ms k_duration{4000};
 constexpr std::size_t k_servers = 8;
-constexpr std::size_t k_crashes = 3;     ///< After which the request has shown what it does.
-constexpr std::size_t k_sends_after = 3; ///< In all, however long it comes.
+constexpr std::size_t k_crashes = 3;        ///< After which the request is to be blocked.
+constexpr std::size_t k_max_late_sends = 3; ///< Later than k_max_propagation after the third crash.
 const std::string k_crashing_path = "/read/ends";
 
-/// Backend server that ends when it runs a certain request, with all that it has, and starts again.
-class ending_server : public std::enable_shared_from_this<ending_server>
+/// Backend server that crashes when it runs a certain request, which breaks all its connections, and
+/// restarts.
+class crashing_server : public std::enable_shared_from_this<crashing_server>
 {
 public:
-	ending_server(
-	    asio::io_context& _context, std::size_t _place, std::function<void(ending_server&)> _on_start)
+	crashing_server(
+	    asio::io_context& _context, std::size_t _place, std::function<void(crashing_server&)> _on_start)
 	    : m_context(_context), m_place(_place), m_on_start(std::move(_on_start)), m_timer(_context)
 	{
 	}
@@ -38,18 +40,18 @@
 	{
 		m_acceptor =
 		    std::make_unique<tcp::acceptor>(m_context, tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0));
-		++m_life;
+		++m_instance;
 		accept();
 		m_on_start(*this);
 	}
 	backend_id id() const
 	{
-		return backend_id("b" + std::to_string(m_place) + "." + std::to_string(m_life));
+		return backend_id("b" + std::to_string(m_place) + "." + std::to_string(m_instance));
 	}
-	/// @returns The id of the life before this one.
+	/// @returns The id of the previous instance.
 	backend_id former_id() const
 	{
-		return backend_id("b" + std::to_string(m_place) + "." + std::to_string(m_life - 1));
+		return backend_id("b" + std::to_string(m_place) + "." + std::to_string(m_instance - 1));
 	}
 	tcp::endpoint address() const
 	{
@@ -57,7 +59,7 @@
 	}
 
 	std::vector<steady_time> crashing_arrivals;
-	std::vector<steady_time> ends;
+	std::vector<steady_time> crashes;
 
 private:
 	struct session
@@ -82,9 +84,9 @@
 			    {
 				    return;
 			    }
-			    const auto one = std::make_shared<session>(std::move(_socket));
-			    self->m_sessions.insert(one);
-			    self->read(one);
+			    const auto accepted = std::make_shared<session>(std::move(_socket));
+			    self->m_sessions.insert(accepted);
+			    self->read(accepted);
 			    self->accept();
 		    });
 	}
@@ -104,20 +106,20 @@
 	}
 	void run(const session_ptr& _session)
 	{
-		const bool crashes = k_crashing_path == _session->request.target();
-		if (crashes)
+		const bool crashing = k_crashing_path == _session->request.target();
+		if (crashing)
 		{
 			crashing_arrivals.push_back(clock_system().steady());
 		}
 		_session->timer.expires_after(k_work);
 		_session->timer.async_wait(
-		    [self = shared_from_this(), _session, crashes](beast::error_code _error)
+		    [self = shared_from_this(), _session, crashing](beast::error_code _error)
 		    {
 			    if (_error || !_session->socket.is_open())
 			    {
 				    return;
 			    }
-			    crashes ? self->end() : self->answer(_session);
+			    crashing ? self->crash() : self->answer(_session);
 		    });
 	}
 	void answer(const session_ptr& _session)
@@ -131,16 +133,16 @@
 			    self->read(_session);
 		    });
 	}
-	void end()
+	void crash()
 	{
-		ends.push_back(clock_system().steady());
+		crashes.push_back(clock_system().steady());
 		m_acceptor->close();
-		for (const session_ptr& one : std::exchange(m_sessions, {}))
+		for (const session_ptr& open_session : std::exchange(m_sessions, {}))
 		{
 			beast::error_code ignored;
-			one->socket.set_option(asio::socket_base::linger(true, 0), ignored);
-			one->socket.close(ignored);
-			one->timer.cancel();
+			open_session->socket.set_option(asio::socket_base::linger(true, 0), ignored);
+			open_session->socket.close(ignored);
+			open_session->timer.cancel();
 		}
 		m_timer.expires_after(k_down);
 		m_timer.async_wait(
@@ -155,20 +157,20 @@
 
 	asio::io_context& m_context;
 	std::size_t m_place;
-	std::function<void(ending_server&)> m_on_start;
+	std::function<void(crashing_server&)> m_on_start;
 	asio::steady_timer m_timer;
 	std::unique_ptr<tcp::acceptor> m_acceptor;
 	std::set<session_ptr> m_sessions;
-	int m_life = 0;
+	int m_instance = 0;
 };
 
-/// Nine nodes, and backend servers that a certain request ends.
-class crashing_play
+/// Nine nodes, and backend servers that a certain request crashes.
+class crashing_request_model
 {
 public:
-	crashing_play()
+	crashing_request_model()
 	{
-		const auto on_start = [this](ending_server& _server)
+		const auto on_start = [this](crashing_server& _server)
 		{
 			for (std::size_t i = 0; m_nodes && i < k_group_nodes; ++i)
 			{
@@ -180,43 +182,43 @@
 		std::vector<backend_record> records;
 		for (std::size_t i = 0; i < k_servers; ++i)
 		{
-			m_servers.push_back(std::make_shared<ending_server>(m_context, i, on_start));
+			m_servers.push_back(std::make_shared<crashing_server>(m_context, i, on_start));
 			m_servers.back()->start();
 			records.push_back(record_at(m_servers.back()->id().text, m_servers.back()->address()));
 		}
 		m_nodes = std::make_unique<node_group>(m_context, m_clock, records);
 	}
-	~crashing_play()
+	~crashing_request_model()
 	{
 		m_context.stop();
 	}
-	crashing_play(const crashing_play&) = delete;
-	crashing_play& operator=(const crashing_play&) = delete;
+	crashing_request_model(const crashing_request_model&) = delete;
+	crashing_request_model& operator=(const crashing_request_model&) = delete;
 
-	/// Other requests all the time, and the crashing one at another node each time.
+	/// Sends other requests continuously, and the crashing request to a different node each time.
 	void run()
 	{
-		const steady_time until = m_clock.steady() + k_played;
-		steady_time comes_at = m_clock.steady() + k_comes_again;
+		const steady_time until = m_clock.steady() + k_duration;
+		steady_time crashing_at = m_clock.steady() + k_crashing_interval;
 		while (m_clock.steady() < until)
 		{
-			const bool crashing = m_clock.steady() >= comes_at;
-			comes_at += crashing ? k_comes_again : ms(0);
+			const bool crashing = m_clock.steady() >= crashing_at;
+			crashing_at += crashing ? k_crashing_interval : ms(0);
 			send(crashing ? k_crashing_path : "/read/" + std::to_string(m_sent % 50));
-			m_context.run_for(k_pause);
+			m_context.run_for(k_request_interval);
 			m_nodes->at(m_sent % k_group_nodes).tick();
 		}
 	}
-	std::size_t ended() const
+	std::size_t crashes() const
 	{
-		return all(&ending_server::ends).size();
+		return all(&crashing_server::crashes).size();
 	}
-	/// @returns Sends of the request that came when all nodes had to know.
-	std::size_t sends_after() const
+	/// @returns Number of crashing requests that reached a backend server when all nodes had to block them.
+	std::size_t late_sends() const
 	{
-		const std::vector<steady_time> ends = all(&ending_server::ends);
-		const std::vector<steady_time> arrivals = all(&ending_server::crashing_arrivals);
-		const steady_time known = ends.at(k_crashes - 1) + k_known_after;
+		const std::vector<steady_time> crash_times = all(&crashing_server::crashes);
+		const std::vector<steady_time> arrivals = all(&crashing_server::crashing_arrivals);
+		const steady_time known = crash_times.at(k_crashes - 1) + k_max_propagation;
 		return static_cast<std::size_t>(
 		    arrivals.end() - std::upper_bound(arrivals.begin(), arrivals.end(), known));
 	}
@@ -232,7 +234,7 @@
 		record.address = _address;
 		return record;
 	}
-	std::vector<steady_time> all(std::vector<steady_time> ending_server::*_times) const
+	std::vector<steady_time> all(std::vector<steady_time> crashing_server::*_times) const
 	{
 		std::vector<steady_time> times;
 		for (const auto& server : m_servers)
@@ -252,7 +254,7 @@
 
 	asio::io_context m_context{1};
 	clock_system m_clock;
-	std::vector<std::shared_ptr<ending_server>> m_servers;
+	std::vector<std::shared_ptr<crashing_server>> m_servers;
 	std::unique_ptr<node_group> m_nodes;
 	std::deque<raw_caller> m_callers;
 	std::size_t m_sent = 0;
@@ -262,20 +264,20 @@
 class crashing_request_test : public CppUnit::TestFixture
 {
 	CPPUNIT_TEST_SUITE(crashing_request_test);
-	CPPUNIT_TEST(request_that_has_ended_three_servers_is_sent_three_times_more_at_most);
+	CPPUNIT_TEST(request_that_crashed_three_servers_is_sent_at_most_three_times_more);
 	CPPUNIT_TEST_SUITE_END();
 
 protected:
-	/// Guards against a harm that one request does, remembered by no node beyond that request's life.
-	void request_that_has_ended_three_servers_is_sent_three_times_more_at_most()
+	/// Guards against a crashing request that no node remembers beyond the lifetime of a single request id.
+	void request_that_crashed_three_servers_is_sent_at_most_three_times_more()
 	{
-		crashing_play play;
-		play.run();
-		CPPUNIT_ASSERT(play.ended() >= k_crashes);
-		const std::string seen = std::to_string(play.sends_after()) +
-		                         " sends after the third crash was known, " + std::to_string(play.ended()) +
-		                         " servers ended";
-		CPPUNIT_ASSERT_MESSAGE(seen, play.sends_after() <= k_sends_after);
+		crashing_request_model model;
+		model.run();
+		CPPUNIT_ASSERT(model.crashes() >= k_crashes);
+		const std::string seen = std::to_string(model.late_sends()) +
+		                         " sends after the third crash was known, " +
+		                         std::to_string(model.crashes()) + " servers ended";
+		CPPUNIT_ASSERT_MESSAGE(seen, model.late_sends() <= k_max_late_sends);
 	}
 };
 
--- a/tests/fleet_model_test.cpp
+++ b/tests/fleet_model_test.cpp
@@ -2,7 +2,8 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Whole fleets on a virtual clock: each node's table, with datagrams that take time and get lost.
+/// Model of node liveness in whole fleets on a virtual clock: each node has a fleet table, and datagrams
+/// (heartbeats and domain digests) are delayed and lost.
 
 #include "fixtures.h"
 
@@ -18,16 +19,16 @@
 {
 using ms = std::chrono::milliseconds;
 
-constexpr ms k_step{10};          ///< Of the virtual clock.
-constexpr ms k_delay_region{10};  ///< Of a datagram within a region, at most.
-constexpr ms k_delay_regions{40}; ///< And between regions.
+constexpr ms k_step{10};                  ///< Of the virtual clock.
+constexpr ms k_delay_in_region{10};       ///< Of a datagram within a region.
+constexpr ms k_delay_between_regions{40}; ///< Of a datagram to another region.
 
-/// A fleet of three regions, with three failure domains each if nothing else is said.
+/// A fleet of three regions, by default with three failure domains each.
 class fleet_model
 {
 public:
-	/// @param[in] _loss Part of the datagrams that get lost.
-	/// @param[in] _domains Failure domains.
+	/// @param[in] _loss Fraction of the datagrams that get lost.
+	/// @param[in] _domains Number of failure domains.
 	fleet_model(int _nodes, double _loss, int _domains = 9) : m_loss(_loss), m_domains(_domains)
 	{
 		m_registry = std::make_unique<backend_registry>(std::unordered_map<std::string, std::string>{});
@@ -35,30 +36,30 @@
 		{
 			add_node(i);
 		}
-		for (auto& [ip, one] : m_nodes)
+		for (auto& [ip, peer] : m_nodes)
 		{
 			for (int seed = 0; seed < 3; ++seed)
 			{
-				one.view->add_address(ip_of(seed));
+				peer.view->add_address(ip_of(seed));
 			}
 		}
 	}
 
-	/// Lets time pass.
+	/// Advances the clock.
 	void run(ms _time)
 	{
 		for (ms passed{0}; passed < _time; passed += k_step)
 		{
 			m_clock.advance(k_step);
 			deliver();
-			for (auto& [ip, one] : m_nodes)
+			for (auto& [ip, peer] : m_nodes)
 			{
-				if (!one.dead && m_clock.steady() >= one.next_at)
+				if (!peer.dead && m_clock.steady() >= peer.next_at)
 				{
-					one.next_at = m_clock.steady() + one.view->interval();
-					one.view->tick();
-					send_digests(one);
-					send_heartbeats(one);
+					peer.next_at = m_clock.steady() + peer.view->interval();
+					peer.view->tick();
+					send_digests(peer);
+					send_heartbeats(peer);
 				}
 			}
 		}
@@ -69,66 +70,69 @@
 		m_nodes.at(ip_of(_node)).dead = true;
 	}
 
-	/// Has a node say that it stops.
+	/// Makes a node announce that it stops.
 	void stop(int _node)
 	{
-		node& one = m_nodes.at(ip_of(_node));
-		one.view->self().state = node_state::stopping;
-		const auto last = std::make_shared<const node_heartbeat>(one.view->greet(greeting::heartbeat));
-		for (const std::string& ip : one.view->region_addresses())
+		node& peer = m_nodes.at(ip_of(_node));
+		peer.view->self().state = node_state::stopping;
+		const auto last = std::make_shared<const node_heartbeat>(peer.view->greet(greeting::heartbeat));
+		for (const std::string& ip : peer.view->region_addresses())
 		{
 			send(last, ip);
 		}
 	}
 
-	/// @returns Nodes that the live ones know at least, themselves left out.
-	std::size_t least_known() const
+	/// @returns Minimum number of other nodes that any live node knows.
+	std::size_t min_known() const
 	{
 		std::size_t least = m_nodes.size();
-		for (const auto& [ip, one] : m_nodes)
+		for (const auto& [ip, peer] : m_nodes)
 		{
-			least = one.dead ? least : std::min(least, one.view->members().size());
+			least = peer.dead ? least : std::min(least, peer.view->members().size());
 		}
 		return least;
 	}
 
-	/// @returns Live nodes of a node's region whose table has it as live and ready, or of the other regions.
-	int believers(int _node, bool _in_region) const
+	/// @returns Number of other live nodes that list a node as live and ready.
+	/// @param[in] _in_region Counts nodes of that node's region; otherwise, those of the other regions.
+	int count_nodes_listing_as_live(int _node, bool _in_region) const
 	{
-		int believers = 0;
-		const node_heartbeat& asked = m_nodes.at(ip_of(_node)).view->self();
-		for (const auto& [ip, one] : m_nodes)
+		int listing = 0;
+		const node_heartbeat& listed = m_nodes.at(ip_of(_node)).view->self();
+		for (const auto& [ip, peer] : m_nodes)
 		{
-			const bool near = one.view->self().region == asked.region;
-			const bool counts = !one.dead && ip != ip_of(_node) && near == _in_region;
-			believers += counts && takes_requests(*one.view, asked.node) ? 1 : 0;
+			const bool same_region = peer.view->self().region == listed.region;
+			const bool counts = !peer.dead && ip != ip_of(_node) && same_region == _in_region;
+			listing += counts && accepts_requests(*peer.view, listed.node) ? 1 : 0;
 		}
-		return believers;
+		return listing;
 	}
 
-	/// @returns Live nodes that some live node knows and has as dead.
-	int wrongly_dead() const
+	/// @returns Number of pairs of live nodes of which one knows the other and doesn't list it as live and
+	/// ready.
+	int count_wrongly_dead() const
 	{
 		int wrong = 0;
-		for (const auto& [ip, one] : m_nodes)
+		for (const auto& [ip, peer] : m_nodes)
 		{
 			for (const auto& [other_ip, other] : m_nodes)
 			{
 				const node_name& name = other.view->self().node;
-				const bool known = !other.dead && one.view->members().count(name) > 0;
-				wrong += !one.dead && known && !takes_requests(*one.view, name) ? 1 : 0;
+				const bool known = !other.dead && peer.view->members().count(name) > 0;
+				wrong += !peer.dead && known && !accepts_requests(*peer.view, name) ? 1 : 0;
 			}
 		}
 		return wrong;
 	}
 
-	/// @returns Datagrams to other regions since the start, for each node.
-	double far_datagrams() const
+	/// @returns Datagrams to other regions since the start, on average over the nodes.
+	double datagrams_to_other_regions() const
 	{
-		return static_cast<double>(m_sent_far) / static_cast<double>(m_nodes.size());
+		return static_cast<double>(m_sent_to_other_regions) / static_cast<double>(m_nodes.size());
 	}
 
-	/// @returns Datagrams that a node sends a second, on average over the time since the last call.
+	/// @param[in] _time Time since the last call.
+	/// @returns Datagrams that a node sends per second, on average over the nodes and that time.
 	double datagrams_per_s(ms _time)
 	{
 		const auto sent = static_cast<double>(m_sent);
@@ -137,7 +141,7 @@
 	}
 
 private:
-	static bool takes_requests(const fleet& _view, const node_name& _node)
+	static bool accepts_requests(const fleet& _view, const node_name& _node)
 	{
 		const auto it = _view.members().find(_node);
 		return _view.members().end() != it && node_state::ready == it->second.last.state &&
@@ -150,7 +154,7 @@
 		steady_time next_at{};
 		bool dead = false;
 	};
-	/// A heartbeat or a part of a digest.
+	/// A heartbeat or a part of a digest, and its addresses.
 	struct datagram
 	{
 		std::string to;
@@ -175,9 +179,9 @@
 		self.ip = ip_of(_index);
 		self.callers = self.ip + ":80";
 		self.state = node_state::ready;
-		node& one = m_nodes[self.ip];
-		one.view = std::make_unique<fleet>(m_clock, self, *m_registry, m_log);
-		one.next_at = m_clock.steady() + ms(_index * 300 / 295 % 300); // They start within 0.3 s.
+		node& peer = m_nodes[self.ip];
+		peer.view = std::make_unique<fleet>(m_clock, self, *m_registry, m_log);
+		peer.next_at = m_clock.steady() + ms(_index * 300 / 295 % 300); // They start within 0.3 s.
 	}
 
 	void send_heartbeats(node& _from)
@@ -204,14 +208,14 @@
 			return;
 		}
 		const node_heartbeat& from = m_nodes.at(_datagram.from).view->self();
-		const bool near = to->second.view->self().region == from.region;
-		m_sent_far += near ? 0 : 1;
+		const bool same_region = to->second.view->self().region == from.region;
+		m_sent_to_other_regions += same_region ? 0 : 1;
 		if (to->second.dead || lost)
 		{
 			return;
 		}
-		const steady_time at = m_clock.steady() + (near ? k_delay_region : k_delay_regions);
-		m_on_the_way[at].push_back(std::move(_datagram));
+		const steady_time at = m_clock.steady() + (same_region ? k_delay_in_region : k_delay_between_regions);
+		m_in_transit[at].push_back(std::move(_datagram));
 	}
 
 	void send_digests(node& _from)
@@ -231,7 +235,7 @@
 		}
 	}
 
-	void take_digest(node& _to, const datagram& _datagram)
+	void receive_digest(node& _to, const datagram& _datagram)
 	{
 		for (const std::string& ip : _to.view->relay_addresses(*_datagram.digest, _datagram.from))
 		{
@@ -242,23 +246,24 @@
 
 	void deliver()
 	{
-		while (!m_on_the_way.empty() && m_on_the_way.begin()->first <= m_clock.steady())
+		while (!m_in_transit.empty() && m_in_transit.begin()->first <= m_clock.steady())
 		{
-			const std::vector<datagram> some = std::move(m_on_the_way.begin()->second);
-			m_on_the_way.erase(m_on_the_way.begin());
-			for (const datagram& one : some)
+			const std::vector<datagram> due = std::move(m_in_transit.begin()->second);
+			m_in_transit.erase(m_in_transit.begin());
+			for (const datagram& delivered : due)
 			{
-				node& to = m_nodes.at(one.to);
-				if (one.digest)
+				node& to = m_nodes.at(delivered.to);
+				if (delivered.digest)
 				{
-					take_digest(to, one);
+					receive_digest(to, delivered);
 					continue;
 				}
-				const greeting due = to.dead ? greeting::none : to.view->hear(*one.heartbeat);
-				if (greeting::none != due)
+				const greeting reply = to.dead ? greeting::none : to.view->hear(*delivered.heartbeat);
+				if (greeting::none != reply)
 				{
-					send(std::make_shared<const node_heartbeat>(to.view->greet(due, one.heartbeat->domain)),
-					    one.heartbeat->ip);
+					send(std::make_shared<const node_heartbeat>(
+					         to.view->greet(reply, delivered.heartbeat->domain)),
+					    delivered.heartbeat->ip);
 				}
 			}
 		}
@@ -270,10 +275,10 @@
 	entry_log m_log{"test", -1};
 	std::unique_ptr<backend_registry> m_registry;
 	std::map<std::string, node> m_nodes;
-	std::map<steady_time, std::vector<datagram>> m_on_the_way;
+	std::map<steady_time, std::vector<datagram>> m_in_transit;
 	std::minstd_rand m_random{20261202};
 	std::size_t m_sent = 0;
-	std::size_t m_sent_far = 0; ///< To other regions, since the start.
+	std::size_t m_sent_to_other_regions = 0; ///< To other regions, since the start.
 };
 } // namespace
 
@@ -297,7 +302,8 @@
 		expect_notices(295, 0.05, ms(3200), ms(6500));
 	}
 
-	/// LARKRACK_LARGE=1 plays 986 and 2,000 nodes too, some minutes.
+	/// With the environment variable LARKRACK_LARGE set, includes fleets of 986 and 2,000 nodes, which takes
+	/// some minutes.
 	void fleet_of_280_in_large_failure_domains_knows_all_by_digests()
 	{
 		expect_digests(280, 4, 0.0, 0.0);
@@ -309,43 +315,46 @@
 		}
 	}
 
-	/// Not a hello to each far node, and an answer.
+	/// Guards against nodes that, when the fleet starts, exchange a hello and a reply with each node of the
+	/// other regions.
 	void start_of_280_in_large_failure_domains_sends_few_hellos_to_other_regions()
 	{
 		constexpr int k_nodes = 280;
 		fleet_model model(k_nodes, 0.0, 4);
-		while (model.least_known() < static_cast<std::size_t>(0.98 * (k_nodes - 1)))
+		while (model.min_known() < static_cast<std::size_t>(0.98 * (k_nodes - 1)))
 		{
 			model.run(ms(500));
 		}
-		CPPUNIT_ASSERT(model.far_datagrams() < 0.5 * k_nodes);
+		CPPUNIT_ASSERT(model.datagrams_to_other_regions() < 0.5 * k_nodes);
 	}
 
-	/// @param[in] _wrong Part of the pairs of nodes in which a live one may count as dead.
+	/// Checks that all nodes become known, and that failed and stopping nodes are noticed, through digests.
+	/// @param[in] _wrong Maximum fraction of the pairs of nodes in which a live node is listed as dead.
 	static void expect_digests(int _nodes, int _domains, double _loss, double _wrong)
 	{
 		fleet_model model(_nodes, _loss, _domains);
 		double known_s = 0.0;
-		while (model.least_known() < static_cast<std::size_t>(0.98 * (_nodes - 1)))
+		while (model.min_known() < static_cast<std::size_t>(0.98 * (_nodes - 1)))
 		{
 			model.run(ms(500));
 			known_s += 0.5;
 			CPPUNIT_ASSERT(known_s <= 15.0);
 		}
-		const double hellos = model.far_datagrams();
+		const double hellos = model.datagrams_to_other_regions();
 		model.run(ms(4000));
-		const double wrong = static_cast<double>(model.wrongly_dead()) / (1.0 * _nodes * _nodes);
+		const double wrong = static_cast<double>(model.count_wrongly_dead()) / (1.0 * _nodes * _nodes);
 		model.datagrams_per_s(ms(1000));
 		model.kill(7);
 		model.stop(6);
-		double near_s = 0.0;
-		double far_s = 0.0;
+		double in_region_s = 0.0;
+		double elsewhere_s = 0.0;
 		double passed_s = 0.0;
-		for (; model.believers(7, true) + model.believers(7, false) > 0; passed_s += 0.5)
+		for (; model.count_nodes_listing_as_live(7, true) + model.count_nodes_listing_as_live(7, false) > 0;
+		     passed_s += 0.5)
 		{
 			model.run(ms(500));
-			near_s += model.believers(7, true) > 0 ? 0.5 : 0.0;
-			far_s += model.believers(7, false) > 0 ? 0.5 : 0.0;
+			in_region_s += model.count_nodes_listing_as_live(7, true) > 0 ? 0.5 : 0.0;
+			elsewhere_s += model.count_nodes_listing_as_live(7, false) > 0 ? 0.5 : 0.0;
 			CPPUNIT_ASSERT(passed_s < 60.0);
 		}
 		const double per_s = model.datagrams_per_s(ms(static_cast<int>(1000 * passed_s)));
@@ -353,41 +362,42 @@
 		{
 			std::cout << _nodes << " nodes, " << _loss << " lost: 98% known after " << known_s
 			          << " s, datagrams to other regions until then " << hellos
-			          << " a node; dead in the region after " << near_s << " s, elsewhere " << far_s
-			          << " s; wrongly dead " << wrong << "; datagrams sent " << per_s << " a second and node"
-			          << std::endl;
+			          << " a node; dead in the region after " << in_region_s << " s, elsewhere "
+			          << elsewhere_s << " s; wrongly dead " << wrong << "; datagrams sent " << per_s
+			          << " a second and node" << std::endl;
 		}
-		// Look-ups may name a node of the region for 8 s after its death.
-		CPPUNIT_ASSERT(near_s < 7.0 || _nodes > 1000);
-		CPPUNIT_ASSERT(far_s < 17.0 || _nodes > 1000);
+		// Lookups may return a node of the region for 8 s after it failed.
+		CPPUNIT_ASSERT(in_region_s < 7.0 || _nodes > 1000);
+		CPPUNIT_ASSERT(elsewhere_s < 17.0 || _nodes > 1000);
 		CPPUNIT_ASSERT(wrong <= _wrong);
-		CPPUNIT_ASSERT_EQUAL(0, model.believers(6, false));
+		CPPUNIT_ASSERT_EQUAL(0, model.count_nodes_listing_as_live(6, false));
 		CPPUNIT_ASSERT(per_s < 170.0);
 	}
 
-	/// @param[in] _near Until the region has a dead node as dead.
-	/// @param[in] _far Until the other regions have.
-	static void expect_notices(int _nodes, double _loss, ms _near, ms _far)
+	/// Checks that failed and stopping nodes are noticed in time, and that no live node is listed as dead.
+	/// @param[in] _in_region Maximum time until the nodes of a failed node's region list the node as dead.
+	/// @param[in] _elsewhere Maximum time until the nodes of the other regions do.
+	static void expect_notices(int _nodes, double _loss, ms _in_region, ms _elsewhere)
 	{
 		fleet_model model(_nodes, _loss);
 		model.run(ms(1500));
 		const auto others = static_cast<double>(_nodes - 1);
-		CPPUNIT_ASSERT(static_cast<double>(model.least_known()) >= others * (1.0 - 2.0 * _loss));
-		CPPUNIT_ASSERT_EQUAL(0, model.wrongly_dead());
+		CPPUNIT_ASSERT(static_cast<double>(model.min_known()) >= others * (1.0 - 2.0 * _loss));
+		CPPUNIT_ASSERT_EQUAL(0, model.count_wrongly_dead());
 		model.datagrams_per_s(ms(1500));
 		model.kill(7);
 		model.stop(6);
 		model.run(ms(300));
-		CPPUNIT_ASSERT(model.believers(6, true) <= 2.0 * _loss * _nodes / 3);
-		model.run(_near - ms(300));
-		CPPUNIT_ASSERT_EQUAL(0, model.believers(6, true));
-		CPPUNIT_ASSERT_EQUAL(0, model.believers(7, true));
-		model.run(_far - _near);
-		CPPUNIT_ASSERT_EQUAL(0, model.believers(7, false));
-		CPPUNIT_ASSERT_EQUAL(0, model.believers(6, false));
-		CPPUNIT_ASSERT(model.datagrams_per_s(_far) < 170.0);
-		model.kill(6); // All that are left are to be live and ready.
-		CPPUNIT_ASSERT_EQUAL(0, model.wrongly_dead());
+		CPPUNIT_ASSERT(model.count_nodes_listing_as_live(6, true) <= 2.0 * _loss * _nodes / 3);
+		model.run(_in_region - ms(300));
+		CPPUNIT_ASSERT_EQUAL(0, model.count_nodes_listing_as_live(6, true));
+		CPPUNIT_ASSERT_EQUAL(0, model.count_nodes_listing_as_live(7, true));
+		model.run(_elsewhere - _in_region);
+		CPPUNIT_ASSERT_EQUAL(0, model.count_nodes_listing_as_live(7, false));
+		CPPUNIT_ASSERT_EQUAL(0, model.count_nodes_listing_as_live(6, false));
+		CPPUNIT_ASSERT(model.datagrams_per_s(_elsewhere) < 170.0);
+		model.kill(6); // All remaining nodes are to be listed as live and ready.
+		CPPUNIT_ASSERT_EQUAL(0, model.count_wrongly_dead());
 	}
 };
 
--- a/tests/limit_model_test.cpp
+++ b/tests/limit_model_test.cpp
@@ -2,10 +2,10 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// The limit of one backend server over whole fleets of three regions, on a virtual clock: datagrams that
-/// take time and get lost, nodes that are cut off, die, start anew and stand still, limits that move. Three
-/// ways of one interface: tokens lent by one node, a fixed part of the limit for each node, and one node
-/// alone that sends there.
+/// Model of the rate limit of one backend server in whole fleets of three regions, on a virtual clock.
+/// Datagrams are delayed and lost; nodes are partitioned, fail, restart and stall; the limit changes.
+/// Compares three strategies: tokens lent by one node (the one in use), a fixed share of the limit for each
+/// node, and a single node that sends to the backend server.
 
 #include "fixtures.h"
 #include "model_view.h"
@@ -27,29 +27,30 @@
 using ms = std::chrono::milliseconds;
 
 constexpr ms k_step{5};
-constexpr ms k_far{35};            ///< One way between two regions.
-constexpr ms k_near{1};            ///< Within one.
-constexpr ms k_window{4000};       ///< In which requests are counted.
-constexpr ms k_known_after{500};   ///< From a node's first answer that names the limit.
-constexpr ms k_judged_after{4000}; ///< From the first time that the limit was named.
-constexpr ms k_work{200};          ///< Of the backend server on a request.
+constexpr ms k_delay_between_regions{35}; ///< One way.
+constexpr ms k_delay_in_region{1};        ///< One way.
+constexpr ms k_window{4000};              ///< Window in which requests are counted.
+constexpr ms k_grace{500}; ///< From a node's first response with the limit until the node has to keep to it.
+/// Time from the first reported limit, and from a fault of a node, until requests are checked.
+constexpr ms k_settled_after{4000};
+constexpr ms k_work{200}; ///< Run time of a request at the backend server.
 
-/// A node that divides a limit in another way than by lent tokens.
-class other_way : public limit_gate_base
+/// Divides a limit between nodes without lending tokens.
+class local_limits : public limit_gate_base
 {
 public:
-	/// @param[in] _alone Whether one node sends alone; else each has the same part.
-	other_way(const clock_base& _clock, const model_view& _view, bool _alone)
-	    : m_clock(_clock), m_view(_view), m_alone(_alone)
+	/// @param[in] _single_sender Whether one node sends all requests; otherwise each has the same share.
+	local_limits(const clock_base& _clock, const model_view& _view, bool _single_sender)
+	    : m_clock(_clock), m_view(_view), m_single_sender(_single_sender)
 	{
 	}
 	quota_answer take(const backend_state& _backend) override
 	{
 		const double per_s = *_backend.limit.word().per_s;
 		const bool sends = m_view.holders_in(_backend.region, _backend.id_hash).first.ip.empty();
-		const double part = m_alone ? (sends ? 1.0 : 0.0) : 1.0 / m_view.nodes.most;
-		return m_bucket.take(part * per_s, 1.0, m_clock.steady()) ? quota_answer::granted
-		                                                          : quota_answer::over;
+		const double share = m_single_sender ? (sends ? 1.0 : 0.0) : 1.0 / m_view.nodes.most;
+		return m_bucket.take(share * per_s, 1.0, m_clock.steady()) ? quota_answer::granted
+		                                                           : quota_answer::over;
 	}
 	void wait_for_token(const backend_state&, handler) override
 	{
@@ -57,31 +58,31 @@
 	void give_back(const backend_state&) override
 	{
 	}
-	void on_word(backend_server& _backend, const limit_word& _word) override
+	void on_word(backend_server& _backend, const limit_word& _limit) override
 	{
-		_backend.limit.hear(_word);
+		_backend.limit.hear(_limit);
 	}
 
 private:
 	const clock_base& m_clock;
 	const model_view& m_view;
-	bool m_alone;
+	bool m_single_sender;
 	token_bucket m_bucket;
 };
 
-enum class limit_way
+enum class limit_strategy
 {
-	lent,
-	fixed_part,
-	one_sender,
+	lent_tokens, ///< As implemented in backend_limits.
+	fixed_share,
+	single_sender,
 };
 
 /// A fleet, and one backend server of region r0.
 class limit_model
 {
 public:
-	limit_model(limit_way _way, int _nodes, double _loss, unsigned _seed)
-	    : m_way(_way), m_loss(_loss), m_random(_seed), m_nodes(static_cast<std::size_t>(_nodes))
+	limit_model(limit_strategy _strategy, int _nodes, double _loss, unsigned _seed)
+	    : m_strategy(_strategy), m_loss(_loss), m_random(_seed), m_nodes(static_cast<std::size_t>(_nodes))
 	{
 		m_clock.advance(ms(1000));
 		for (int i = 0; i < _nodes; ++i)
@@ -91,20 +92,20 @@
 		refresh_views();
 	}
 
-	/// The backend server names another limit, or none.
-	void name(std::optional<double> _per_s)
+	/// The backend server reports another limit from now on, or none.
+	void set_limit(std::optional<double> _per_s)
 	{
-		m_named = _per_s;
-		if (_per_s && steady_time{} == m_first_named)
+		m_reported = _per_s;
+		if (_per_s && steady_time{} == m_first_reported)
 		{
-			m_first_named = m_clock.steady();
+			m_first_reported = m_clock.steady();
 		}
-		for (int i = 0; limit_way::lent != m_way && i < nodes(); ++i)
+		for (int i = 0; limit_strategy::lent_tokens != m_strategy && i < nodes(); ++i)
 		{
-			answer(i, _per_s); // The other ways need all nodes to know.
+			receive_response(i, _per_s); // The other strategies require that all nodes know the limit.
 		}
 	}
-	/// Requests for the backend server from callers at all nodes.
+	/// Advances the clock while callers at all nodes send requests for the backend server.
 	void run(ms _time, double _per_s)
 	{
 		const double mean = _per_s * std::chrono::duration<double>(k_step).count();
@@ -113,7 +114,7 @@
 			step();
 			for (int left = std::poisson_distribution<int>(mean)(m_random); left > 0; --left)
 			{
-				ask(std::uniform_int_distribution<int>(0, nodes() - 1)(m_random));
+				request_token(std::uniform_int_distribution<int>(0, nodes() - 1)(m_random));
 			}
 		}
 	}
@@ -137,9 +138,10 @@
 		record.id = backend_id("limited");
 		record.domain = domain_name("d");
 		node.backends->put(record, m_clock.steady());
-		if (limit_way::lent != m_way)
+		if (limit_strategy::lent_tokens != m_strategy)
 		{
-			node.gate = std::make_unique<other_way>(m_clock, *node.view, limit_way::one_sender == m_way);
+			node.gate = std::make_unique<local_limits>(
+			    m_clock, *node.view, limit_strategy::single_sender == m_strategy);
 		}
 		else
 		{
@@ -158,12 +160,12 @@
 	{
 		excuse(_node).cut = _cut;
 	}
-	/// The process stands still; what comes meanwhile waits.
+	/// Suspends or resumes the process of a node; datagrams that arrive meanwhile are queued.
 	void set_frozen(int _node, bool _frozen)
 	{
 		excuse(_node).frozen = _frozen;
 	}
-	/// Nodes see who is there; between two calls they believe in what was.
+	/// Updates the views of all nodes on the fleet; between two calls their views are outdated.
 	void refresh_views()
 	{
 		for (model_node& node : m_nodes)
@@ -175,27 +177,29 @@
 	{
 		return static_cast<int>(m_nodes.size());
 	}
-	/// @returns The node that lends, as node 0 sees it.
+	/// @returns The node that lends the tokens, in the view of node 0.
 	int lender() const
 	{
 		const quota_holder first =
 		    m_nodes.front().view->holders_in(model_region_of(0), ring_place(state_at(0).id_hash)).first;
 		return first.ip.empty() ? 0 : std::stoi(first.ip);
 	}
-	/// @returns The most that counted in any window, as a part of what was allowed there.
-	double most_of_allowed() const
+	/// @returns Maximum of the requests in any window, relative to the number allowed in that window.
+	double max_utilization() const
 	{
-		return m_most_of_allowed;
+		return m_max_utilization;
 	}
+	/// @returns Number of requests that reached the backend server.
 	std::size_t arrived() const
 	{
 		return m_arrived;
 	}
-	std::size_t elsewhere() const
+	/// @returns Number of requests that got no token and would be sent to another backend server.
+	std::size_t diverted() const
 	{
-		return m_elsewhere;
+		return m_diverted;
 	}
-	/// @returns Datagrams that all nodes sent.
+	/// @returns Number of datagrams that all nodes sent.
 	std::size_t datagrams() const
 	{
 		return m_datagrams;
@@ -207,18 +211,19 @@
 		std::unique_ptr<model_view> view;
 		std::unique_ptr<backend_registry> backends;
 		std::unique_ptr<limit_gate_base> gate;
-		backend_limits* lent = nullptr;
-		bool cut = false;
+		backend_limits* lent = nullptr; ///< The gate, when the strategy is lent_tokens.
+		bool cut = false;               ///< Partitioned from all other nodes.
 		bool dead = false;
 		bool frozen = false;
-		steady_time known_since{}; ///< When it passed on the first answer that named the limit.
-		steady_time excused_at{};  ///< When it was last touched by a fault.
+		steady_time known_since{}; ///< When the node received the first response with the limit.
+		steady_time excused_at{};  ///< When a fault last affected the node.
 	};
 
 	model_node& at(int _node)
 	{
 		return m_nodes.at(static_cast<std::size_t>(_node));
 	}
+	/// Exempts a node that is affected by a fault from the check for a while.
 	model_node& excuse(int _node)
 	{
 		at(_node).excused_at = m_clock.steady();
@@ -234,30 +239,30 @@
 	}
 	ms delay_to(int _from, int _to) const
 	{
-		return _from % k_model_regions == _to % k_model_regions ? k_near : k_far;
+		return _from % k_model_regions == _to % k_model_regions ? k_delay_in_region : k_delay_between_regions;
 	}
-	void later(ms _delay, std::function<void()> _what)
+	void schedule(ms _delay, std::function<void()> _action)
 	{
-		m_due.emplace(m_clock.steady() + _delay, std::move(_what));
+		m_due.emplace(m_clock.steady() + _delay, std::move(_action));
 	}
-	/// Does something at a node once it neither stands still nor is gone.
-	void at_node(int _node, const std::function<void()>& _what)
+	/// Runs an action at a node, after the node is resumed if it is frozen, and never if it is dead.
+	void run_at_node(int _node, const std::function<void()>& _action)
 	{
 		if (at(_node).frozen)
 		{
-			later(k_step,
-			    [this, _node, _what]
+			schedule(k_step,
+			    [this, _node, _action]
 			    {
-				    at_node(_node, _what);
+				    run_at_node(_node, _action);
 			    });
 		}
 		else if (!at(_node).dead)
 		{
-			_what();
+			_action();
 		}
 	}
 
-	void ask(int _node)
+	void request_token(int _node)
 	{
 		model_node& node = at(_node);
 		if (node.dead || node.frozen)
@@ -282,10 +287,10 @@
 	{
 		if (quota_answer::granted != _answer)
 		{
-			++m_elsewhere;
+			++m_diverted;
 			return;
 		}
-		later(delay_to(_node, 0),
+		schedule(delay_to(_node, 0),
 		    [this, _node]
 		    {
 			    arrive(_node);
@@ -296,29 +301,29 @@
 		model_node& node = at(_node);
 		const steady_time now = m_clock.steady();
 		++m_arrived;
-		const bool knows = steady_time{} != node.known_since && now - node.known_since >= k_known_after;
-		if (knows && !node.cut && now - node.excused_at > k_judged_after)
+		const bool bound = steady_time{} != node.known_since && now - node.known_since >= k_grace;
+		if (bound && !node.cut && now - node.excused_at > k_settled_after)
 		{
 			m_counted.push_back(now);
 		}
-		later(k_work + delay_to(_node, 0),
-		    [this, _node, said = m_named]
+		schedule(k_work + delay_to(_node, 0),
+		    [this, _node, reported = m_reported]
 		    {
-			    at_node(_node,
-			        [this, _node, said]
+			    run_at_node(_node,
+			        [this, _node, reported]
 			        {
-				        answer(_node, said);
+				        receive_response(_node, reported);
 			        });
 		    });
 	}
-	void answer(int _node, const std::optional<double>& _said)
+	void receive_response(int _node, const std::optional<double>& _reported)
 	{
 		model_node& node = at(_node);
-		if (_said && steady_time{} == node.known_since)
+		if (_reported && steady_time{} == node.known_since)
 		{
 			node.known_since = m_clock.steady();
 		}
-		node.gate->on_word(state_at(_node), {_said, m_clock.steady()});
+		node.gate->on_word(state_at(_node), {_reported, m_clock.steady()});
 	}
 
 	void send(int _from, int _to, const std::vector<std::uint8_t>& _bytes)
@@ -328,14 +333,14 @@
 		{
 			return;
 		}
-		later(delay_to(_from, _to),
+		schedule(delay_to(_from, _to),
 		    [this, _from, _to, _bytes]
 		    {
 			    if (at(_from).cut || at(_to).cut)
 			    {
 				    return;
 			    }
-			    at_node(_to,
+			    run_at_node(_to,
 			        [this, _from, _to, _bytes]
 			        {
 				        result<limit_message> decoded =
@@ -351,9 +356,9 @@
 		++m_steps;
 		while (!m_due.empty() && m_due.begin()->first <= m_clock.steady())
 		{
-			const std::function<void()> what = std::move(m_due.begin()->second);
+			const std::function<void()> action = std::move(m_due.begin()->second);
 			m_due.erase(m_due.begin());
-			what();
+			action();
 		}
 		for (model_node& node : m_nodes)
 		{
@@ -367,15 +372,16 @@
 				node.lent->tick();
 			}
 		}
-		judge();
+		check_window();
 	}
-	/// A limit counts until those who know it can have heard of a lower one.
-	void judge()
+	/// Compares the requests in the current window with the number allowed. After a limit decreases, the
+	/// higher one stays in force for k_grace, until the nodes can have learned of the lower one.
+	void check_window()
 	{
 		const steady_time now = m_clock.steady();
-		m_limits.push_back({now, m_named.value_or(k_most_limit_per_s)});
+		m_limits.push_back({now, m_reported.value_or(k_most_limit_per_s)});
 		double highest = 0.0;
-		for (auto it = m_limits.rbegin(); it != m_limits.rend() && it->first > now - k_known_after; ++it)
+		for (auto it = m_limits.rbegin(); it != m_limits.rend() && it->first > now - k_grace; ++it)
 		{
 			highest = std::max(highest, it->second);
 		}
@@ -394,34 +400,34 @@
 		{
 			m_counted.pop_front();
 		}
-		const bool judged = steady_time{} != m_first_named && now - m_first_named >= k_judged_after;
-		if (judged)
+		const bool settled = steady_time{} != m_first_reported && now - m_first_reported >= k_settled_after;
+		if (settled)
 		{
-			m_most_of_allowed =
-			    std::max(m_most_of_allowed, static_cast<double>(m_counted.size()) / (m_allowed + 5.0));
+			m_max_utilization =
+			    std::max(m_max_utilization, static_cast<double>(m_counted.size()) / (m_allowed + 5.0));
 		}
 	}
 
 	void refresh(model_node& _node)
 	{
 		model_view& view = *_node.view;
-		std::vector<int> seen;
+		std::vector<int> reachable;
 		for (int i = 0; i < nodes(); ++i)
 		{
 			const model_node& other = at(i);
 			if (i == view.self || (!other.dead && !other.cut && !other.frozen && !_node.cut))
 			{
-				seen.push_back(i);
+				reachable.push_back(i);
 			}
 		}
-		view.set_seen(seen);
+		view.set_seen(reachable);
 		if (nullptr != _node.lent && !_node.frozen && !_node.dead)
 		{
 			_node.lent->tick();
 		}
 	}
 
-	limit_way m_way;
+	limit_strategy m_strategy;
 	double m_loss;
 	std::minstd_rand m_random;
 	asio::io_context m_context{1};
@@ -429,37 +435,37 @@
 	entry_log m_log{"model", -1};
 	std::vector<model_node> m_nodes;
 	std::multimap<steady_time, std::function<void()>> m_due;
-	std::optional<double> m_named;
-	steady_time m_first_named{};
-	std::deque<steady_time> m_counted; ///< Arrivals within the last window, of nodes that know and are bound.
-	std::deque<std::pair<steady_time, double>> m_limits;
-	std::deque<std::pair<steady_time, double>> m_in_force;
-	double m_allowed = 0.0;
-	double m_most_of_allowed = 0.0;
+	std::optional<double> m_reported;
+	steady_time m_first_reported{};
+	std::deque<steady_time> m_counted; ///< Arrivals in the window from nodes that have to keep the limit.
+	std::deque<std::pair<steady_time, double>> m_limits;   ///< Reported limit of each step of the window.
+	std::deque<std::pair<steady_time, double>> m_in_force; ///< Limit in force in each step of the window.
+	double m_allowed = 0.0; ///< Requests that the limits in force allow in the window.
+	double m_max_utilization = 0.0;
 	std::size_t m_arrived = 0;
-	std::size_t m_elsewhere = 0;
+	std::size_t m_diverted = 0;
 	std::size_t m_datagrams = 0;
 	int m_steps = 0;
 };
 
-/// What a limit was used for, while callers asked for four times as much.
+/// Usage of a limit while callers send four times as many requests as it allows.
 struct usage
 {
-	double used = 0.0;            ///< Part of the limit.
-	double datagrams_per_s = 0.0; ///< Of all nodes, from the first second on.
-	double most_of_allowed = 0.0;
+	double used = 0.0;            ///< Requests that reached the backend server, relative to the limit.
+	double datagrams_per_s = 0.0; ///< Of all nodes, after the first 6 seconds.
+	double max_utilization = 0.0;
 };
 
-usage use_of(limit_way _way, int _nodes, double _limit)
+usage measure_usage(limit_strategy _strategy, int _nodes, double _limit)
 {
-	limit_model model(_way, _nodes, 0.0, 1);
-	model.name(_limit);
+	limit_model model(_strategy, _nodes, 0.0, 1);
+	model.set_limit(_limit);
 	model.run(ms(6000), 4.0 * _limit);
 	const std::size_t before = model.arrived();
 	const std::size_t datagrams = model.datagrams();
 	model.run(ms(10000), 4.0 * _limit);
 	return {static_cast<double>(model.arrived() - before) / (10.0 * _limit),
-	    static_cast<double>(model.datagrams() - datagrams) / 10.0, model.most_of_allowed()};
+	    static_cast<double>(model.datagrams() - datagrams) / 10.0, model.max_utilization()};
 }
 
 void print(const char* _what, int _nodes, const usage& _usage)
@@ -467,7 +473,7 @@
 	if (nullptr != std::getenv("LARKRACK_FIGURES"))
 	{
 		std::cout << _what << ", nodes " << _nodes << ": part of the limit used " << _usage.used
-		          << ", most of what is allowed " << _usage.most_of_allowed << ", datagrams a second "
+		          << ", most of what is allowed " << _usage.max_utilization << ", datagrams a second "
 		          << _usage.datagrams_per_s << "\n";
 	}
 }
@@ -476,18 +482,18 @@
 class limit_model_test : public CppUnit::TestFixture
 {
 	CPPUNIT_TEST_SUITE(limit_model_test);
-	CPPUNIT_TEST(limit_that_is_asked_for_four_times_is_used_whole_at_any_size);
-	CPPUNIT_TEST(other_ways_lose_most_of_a_limit_in_large_fleets);
-	CPPUNIT_TEST(limit_that_moves_or_is_absurd_binds_in_every_window);
-	CPPUNIT_TEST(limit_that_ends_is_forgotten_by_all_within_a_second);
-	CPPUNIT_TEST(lender_that_dies_or_stands_still_is_replaced);
-	CPPUNIT_TEST(halves_that_do_not_see_each_other_keep_the_sum);
-	CPPUNIT_TEST(faults_at_random_never_exceed_what_a_limit_allows);
+	CPPUNIT_TEST(limit_under_fourfold_load_is_fully_used_in_fleets_of_any_size);
+	CPPUNIT_TEST(other_strategies_waste_most_of_a_limit_in_large_fleets);
+	CPPUNIT_TEST(limit_that_changes_or_is_extreme_holds_in_every_window);
+	CPPUNIT_TEST(limit_that_ends_is_dropped_by_all_nodes_within_a_second);
+	CPPUNIT_TEST(lender_that_fails_or_stalls_is_replaced);
+	CPPUNIT_TEST(partitioned_fleet_keeps_to_the_limit_in_sum);
+	CPPUNIT_TEST(random_faults_never_exceed_what_a_limit_allows);
 	CPPUNIT_TEST_SUITE_END();
 
 protected:
-	/// LARKRACK_LARGE=1 plays 2,000 nodes too.
-	void limit_that_is_asked_for_four_times_is_used_whole_at_any_size()
+	/// With the environment variable LARKRACK_LARGE set, includes a fleet of 2,000 nodes.
+	void limit_under_fourfold_load_is_fully_used_in_fleets_of_any_size()
 	{
 		std::vector<int> sizes{9, 300, 1000};
 		if (nullptr != std::getenv("LARKRACK_LARGE"))
@@ -498,61 +504,62 @@
 		{
 			for (const double limit : {2.9, 50.0})
 			{
-				const usage lent = use_of(limit_way::lent, nodes, limit);
+				const usage lent = measure_usage(limit_strategy::lent_tokens, nodes, limit);
 				print(limit < 10.0 ? "lent, 2.9 a second" : "lent, 50 a second", nodes, lent);
-				CPPUNIT_ASSERT(lent.most_of_allowed <= 1.0);
+				CPPUNIT_ASSERT(lent.max_utilization <= 1.0);
 				CPPUNIT_ASSERT_MESSAGE(std::to_string(lent.used), lent.used >= 0.85);
-				CPPUNIT_ASSERT(lent.datagrams_per_s <= 25.0 * limit); // By requests, not by nodes.
+				// Proportional to the number of requests, not to the number of nodes.
+				CPPUNIT_ASSERT(lent.datagrams_per_s <= 25.0 * limit);
 			}
 		}
 	}
 
-	void other_ways_lose_most_of_a_limit_in_large_fleets()
+	void other_strategies_waste_most_of_a_limit_in_large_fleets()
 	{
 		for (const int nodes : {9, 1000})
 		{
-			const usage fixed = use_of(limit_way::fixed_part, nodes, 2.9);
-			const usage alone = use_of(limit_way::one_sender, nodes, 2.9);
+			const usage fixed = measure_usage(limit_strategy::fixed_share, nodes, 2.9);
+			const usage single = measure_usage(limit_strategy::single_sender, nodes, 2.9);
 			print("fixed part, 2.9 a second", nodes, fixed);
-			print("one sender, 2.9 a second", nodes, alone);
-			CPPUNIT_ASSERT(9 == nodes || (fixed.used < 0.5 && alone.used < 0.5));
+			print("one sender, 2.9 a second", nodes, single);
+			CPPUNIT_ASSERT(9 == nodes || (fixed.used < 0.5 && single.used < 0.5));
 		}
 	}
 
-	void limit_that_moves_or_is_absurd_binds_in_every_window()
+	void limit_that_changes_or_is_extreme_holds_in_every_window()
 	{
 		for (const int nodes : {9, 300})
 		{
-			limit_model model(limit_way::lent, nodes, 0.02, 2);
+			limit_model model(limit_strategy::lent_tokens, nodes, 0.02, 2);
 			for (const double limit : {20.0, 2.0, 40.0, 0.0, 3.0, 0.01, 10.0})
 			{
-				model.name(std::max(k_least_limit_per_s, limit));
+				model.set_limit(std::max(k_least_limit_per_s, limit));
 				model.run(ms(6000), 60.0);
 				CPPUNIT_ASSERT_MESSAGE(std::to_string(limit) + " a second at " + std::to_string(nodes) +
-				                           " nodes: " + std::to_string(model.most_of_allowed()),
-				    model.most_of_allowed() <= 1.0);
+				                           " nodes: " + std::to_string(model.max_utilization()),
+				    model.max_utilization() <= 1.0);
 			}
 		}
 	}
 
-	void limit_that_ends_is_forgotten_by_all_within_a_second()
+	void limit_that_ends_is_dropped_by_all_nodes_within_a_second()
 	{
-		limit_model model(limit_way::lent, 300, 0.0, 3);
-		model.name(5.0);
+		limit_model model(limit_strategy::lent_tokens, 300, 0.0, 3);
+		model.set_limit(5.0);
 		model.run(ms(6000), 20.0);
-		model.name(std::nullopt);
+		model.set_limit(std::nullopt);
 		model.run(ms(1000), 20.0);
-		const std::size_t elsewhere = model.elsewhere();
+		const std::size_t diverted = model.diverted();
 		model.run(ms(3000), 20.0);
-		CPPUNIT_ASSERT_EQUAL(elsewhere, model.elsewhere());
+		CPPUNIT_ASSERT_EQUAL(diverted, model.diverted());
 	}
 
-	void lender_that_dies_or_stands_still_is_replaced()
+	void lender_that_fails_or_stalls_is_replaced()
 	{
 		for (const bool dies : {true, false})
 		{
-			limit_model model(limit_way::lent, 9, 0.0, 4);
-			model.name(5.0);
+			limit_model model(limit_strategy::lent_tokens, 9, 0.0, 4);
+			model.set_limit(5.0);
 			model.run(ms(5000), 40.0);
 			const int lender = model.lender();
 			dies ? model.kill(lender) : model.set_frozen(lender, true);
@@ -566,14 +573,14 @@
 			model.run(ms(200), 40.0);
 			model.refresh_views();
 			model.run(ms(6000), 40.0);
-			CPPUNIT_ASSERT(model.most_of_allowed() <= 1.0);
+			CPPUNIT_ASSERT(model.max_utilization() <= 1.0);
 		}
 	}
 
-	void halves_that_do_not_see_each_other_keep_the_sum()
+	void partitioned_fleet_keeps_to_the_limit_in_sum()
 	{
-		limit_model model(limit_way::lent, 30, 0.0, 5);
-		model.name(20.0);
+		limit_model model(limit_strategy::lent_tokens, 30, 0.0, 5);
+		model.set_limit(20.0);
 		model.run(ms(5000), 100.0);
 		for (int node = 0; node < 12; ++node)
 		{
@@ -589,20 +596,20 @@
 		model.run(ms(300), 100.0);
 		model.refresh_views();
 		model.run(ms(8000), 100.0);
-		CPPUNIT_ASSERT(model.most_of_allowed() <= 1.0);
+		CPPUNIT_ASSERT(model.max_utilization() <= 1.0);
 	}
 
-	void faults_at_random_never_exceed_what_a_limit_allows()
+	void random_faults_never_exceed_what_a_limit_allows()
 	{
 		const bool held = rc::check("no window holds more than the limit allows",
 		    []()
 		    {
 			    const int nodes = *rc::gen::inRange(2, 40);
 			    const double loss = *rc::gen::inRange(0, 10) / 100.0;
-			    limit_model model(
-			        limit_way::lent, nodes, loss, static_cast<unsigned>(*rc::gen::inRange(1, 1000000)));
+			    limit_model model(limit_strategy::lent_tokens, nodes, loss,
+			        static_cast<unsigned>(*rc::gen::inRange(1, 1000000)));
 			    double limit = *rc::gen::inRange(1, 400) / 10.0;
-			    model.name(std::max(k_least_limit_per_s, limit));
+			    model.set_limit(std::max(k_least_limit_per_s, limit));
 			    model.run(ms(3000), 8.0 * limit + 10.0);
 			    for (int fault = 0; fault < 5; ++fault)
 			    {
@@ -629,14 +636,14 @@
 					    break;
 				    default:
 					    limit = *rc::gen::inRange(1, 400) / 10.0;
-					    model.name(std::max(k_least_limit_per_s, limit));
+					    model.set_limit(std::max(k_least_limit_per_s, limit));
 					    break;
 				    }
 				    model.run(ms(*rc::gen::inRange(1, 10) * 100), 8.0 * limit + 10.0);
 				    model.refresh_views();
 				    model.run(ms(*rc::gen::inRange(1, 20) * 100), 8.0 * limit + 10.0);
 			    }
-			    RC_ASSERT(model.most_of_allowed() <= 1.0);
+			    RC_ASSERT(model.max_utilization() <= 1.0);
 		    });
 		CPPUNIT_ASSERT(held);
 	}
--- a/tests/quota_model_test.cpp
+++ b/tests/quota_model_test.cpp
@@ -2,9 +2,9 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Quotas of whole fleets on a virtual clock: datagrams that take time and get lost, nodes that are cut off,
-/// die and start anew. Two ways of one interface: tokens lent by one node for each customer, and a fixed part
-/// of the limit for each node.
+/// Model of customer quotas in whole fleets of three regions, on a virtual clock. Datagrams are delayed and
+/// lost; nodes are partitioned, fail and restart. Compares two strategies: tokens lent by one node for each
+/// customer (the one in use), and a fixed share of the limit for each node.
 
 #include "fixtures.h"
 #include "model_view.h"
@@ -29,22 +29,22 @@
 using ms = std::chrono::milliseconds;
 
 constexpr ms k_step{5};
-constexpr ms k_far{35};    ///< One way between two of the three regions.
-constexpr ms k_near{1};    ///< Within one.
-constexpr ms k_alone{400}; ///< Without heartbeats, after which a node counts itself as cut off.
+constexpr ms k_delay_between_regions{35}; ///< One way.
+constexpr ms k_delay_in_region{1};        ///< One way.
+constexpr ms k_isolated_after{400}; ///< Time without heartbeats after which a node sees itself isolated.
 constexpr quota_bounds k_bounds{ms(5000), 0.1, 20.0};
 
-enum class quota_way
+enum class quota_strategy
 {
-	lent,
-	fixed_part,
+	lent_tokens, ///< As implemented in customer_quotas.
+	fixed_share,
 };
 
-/// Each node has the same part of the limit, whatever it is asked for.
-class fixed_part_quotas : public quota_gate_base
+/// Each node has the same share of the limit, regardless of its number of requests.
+class fixed_share_quotas : public quota_gate_base
 {
 public:
-	fixed_part_quotas(const clock_base& _clock, double _nodes) : m_clock(_clock), m_nodes(_nodes)
+	fixed_share_quotas(const clock_base& _clock, double _nodes) : m_clock(_clock), m_nodes(_nodes)
 	{
 	}
 	void take(const customer& _customer, handler _decided) override
@@ -68,19 +68,19 @@
 	std::map<std::uint64_t, token_bucket> m_buckets;
 };
 
-/// What the requests of one customer met.
-struct customer_figures
+/// Counts of the requests of one customer.
+struct customer_counts
 {
 	std::deque<steady_time> granted; ///< Within the last window.
-	std::size_t most_in_window = 0;
-	int owed = 0; ///< Within the limit, by one bucket that sees all requests.
-	int granted_in_all = 0;
-	token_bucket reference;
+	std::size_t max_in_window = 0;   ///< Maximum number of granted requests in any window.
+	int entitled = 0;                ///< Requests within the limit, according to the reference bucket.
+	int total_granted = 0;
+	token_bucket reference; ///< A single bucket that sees all requests of the customer.
 
-	/// @returns Requests that were owed and not granted. Which of them does not count.
-	int refused_below() const
+	/// @returns Number of requests within the limit that were not granted, regardless of which ones.
+	int refused_within_limit() const
 	{
-		return std::max(0, owed - granted_in_all);
+		return std::max(0, entitled - total_granted);
 	}
 };
 
@@ -88,15 +88,15 @@
 class quota_model
 {
 public:
-	quota_model(
-	    quota_way _way, int _nodes, const std::vector<customer>& _customers, double _loss, unsigned _seed)
-	    : m_way(_way), m_loss(_loss), m_random(_seed)
+	quota_model(quota_strategy _strategy, int _nodes, const std::vector<customer>& _customers, double _loss,
+	    unsigned _seed)
+	    : m_strategy(_strategy), m_loss(_loss), m_random(_seed)
 	{
 		std::vector<customer_entry> entries;
 		entries.reserve(_customers.size());
-		for (const customer& one : _customers)
+		for (const customer& entry : _customers)
 		{
-			entries.push_back({one, {}});
+			entries.push_back({entry, {}});
 		}
 		result<customer_directory> directory = customer_directory::build(std::move(entries));
 		m_routes =
@@ -120,37 +120,37 @@
 	{
 		return m_routes->customers().customers().size();
 	}
-	const customer_figures& figures(std::size_t _index)
+	const customer_counts& counts(std::size_t _index)
 	{
-		return m_figures[at(_index).id];
+		return m_counts[at(_index).id];
 	}
 
-	/// A request of a customer at a node.
-	void ask(std::size_t _customer, int _node)
+	/// A request of a customer arrives at a node.
+	void request(std::size_t _customer, int _node)
 	{
-		const customer& who = at(_customer);
-		customer_figures& figures = m_figures[who.id];
-		const bool owed = figures.reference.take(who.limit.per_s, who.limit.burst, m_clock.steady());
-		figures.owed += owed ? 1 : 0;
+		const customer& sender = at(_customer);
+		customer_counts& counts = m_counts[sender.id];
+		const bool entitled = counts.reference.take(sender.limit.per_s, sender.limit.burst, m_clock.steady());
+		counts.entitled += entitled ? 1 : 0;
 		model_node& node = m_nodes.at(static_cast<std::size_t>(_node));
 		if (node.dead)
 		{
-			figures.owed -= owed ? 1 : 0; // Nobody is there to refuse it.
+			counts.entitled -= entitled ? 1 : 0; // A dead node refuses nothing.
 			return;
 		}
-		node.gate->take(who,
-		    [this, id = who.id](quota_answer _answer)
+		node.gate->take(sender,
+		    [this, id = sender.id](quota_answer _answer)
 		    {
 			    if (quota_answer::granted == _answer)
 			    {
-				    customer_figures& mine = m_figures[id];
-				    ++mine.granted_in_all;
-				    mine.granted.push_back(m_clock.steady());
+				    customer_counts& granted_counts = m_counts[id];
+				    ++granted_counts.total_granted;
+				    granted_counts.granted.push_back(m_clock.steady());
 			    }
 		    });
 	}
 
-	/// Lets time pass without requests.
+	/// Advances the clock without requests.
 	void idle(ms _time)
 	{
 		for (ms passed{0}; passed < _time; passed += k_step)
@@ -159,7 +159,7 @@
 		}
 	}
 
-	/// Lets one step of time pass.
+	/// Advances the clock by one step.
 	void step()
 	{
 		m_clock.advance(k_step);
@@ -176,26 +176,26 @@
 			{
 				node.lent->wake();
 			}
-			if (node.cut && m_clock.steady() - node.cut_at > k_alone)
+			if (node.cut && m_clock.steady() - node.cut_at > k_isolated_after)
 			{
-				node.view->nodes.live = 1.0; // It hears no heartbeat of any node.
+				node.view->nodes.live = 1.0; // The node receives no heartbeats.
 			}
 			if (0 == m_steps % 20)
 			{
 				node.lent->tick();
 			}
 		}
-		for (auto& [id, figures] : m_figures)
+		for (auto& [id, counts] : m_counts)
 		{
-			while (!figures.granted.empty() && figures.granted.front() <= m_clock.steady() - k_bounds.window)
+			while (!counts.granted.empty() && counts.granted.front() <= m_clock.steady() - k_bounds.window)
 			{
-				figures.granted.pop_front();
+				counts.granted.pop_front();
 			}
-			figures.most_in_window = std::max(figures.most_in_window, figures.granted.size());
+			counts.max_in_window = std::max(counts.max_in_window, counts.granted.size());
 		}
 	}
 
-	/// Cuts nodes off from all others, or kills them. The others see it after a while.
+	/// Partitions a node from all others, or reconnects it. The views of nodes change with refresh_views().
 	void set_cut(int _node, bool _cut)
 	{
 		model_node& node = m_nodes.at(static_cast<std::size_t>(_node));
@@ -218,9 +218,9 @@
 		node.view->self = _node;
 		node.lent = nullptr;
 		refresh(node);
-		if (quota_way::fixed_part == m_way)
+		if (quota_strategy::fixed_share == m_strategy)
 		{
-			node.gate = std::make_unique<fixed_part_quotas>(m_clock, static_cast<double>(m_nodes.size()));
+			node.gate = std::make_unique<fixed_share_quotas>(m_clock, static_cast<double>(m_nodes.size()));
 			return;
 		}
 		auto lent = std::make_unique<customer_quotas>(m_context, m_clock, k_bounds, *node.view,
@@ -233,19 +233,19 @@
 		node.lent = lent.get();
 		node.gate = std::move(lent);
 	}
-	/// One node sees who is there.
+	/// Updates the view of one node on the fleet.
 	void refresh_view(int _node)
 	{
 		refresh(m_nodes.at(static_cast<std::size_t>(_node)));
 	}
-	/// @returns The node that lends the tokens of a customer, as node 0 sees it.
+	/// @returns The node that lends the tokens of a customer, in the view of node 0.
 	int first_lender(std::size_t _customer) const
 	{
 		const model_view& view = *m_nodes.front().view;
 		const std::string ip = view.holders_of(at(_customer).id).first.ip;
 		return ip.empty() ? view.self : std::stoi(ip);
 	}
-	/// All nodes see at once who is there.
+	/// Updates the views of all live nodes on the fleet.
 	void refresh_views()
 	{
 		for (model_node& node : m_nodes)
@@ -271,15 +271,15 @@
 	}
 
 private:
-	/// Bytes of the headers of a datagram.
-	static constexpr std::size_t k_headers = 28;
+	/// Size of the headers of a datagram, bytes.
+	static constexpr std::size_t k_header_bytes = 28;
 
 	struct model_node
 	{
 		std::unique_ptr<model_view> view;
 		std::unique_ptr<quota_gate_base> gate;
-		customer_quotas* lent = nullptr;
-		bool cut = false;
+		customer_quotas* lent = nullptr; ///< The gate, when the strategy is lent_tokens.
+		bool cut = false;                ///< Partitioned from all other nodes.
 		steady_time cut_at{};
 		bool dead = false;
 	};
@@ -293,16 +293,16 @@
 	void refresh(model_node& _node)
 	{
 		model_view& view = *_node.view;
-		std::vector<int> seen;
+		std::vector<int> reachable;
 		for (int i = 0; i < nodes(); ++i)
 		{
 			const model_node& other = m_nodes[static_cast<std::size_t>(i)];
 			if (i == view.self || (!other.dead && !other.cut && !_node.cut))
 			{
-				seen.push_back(i);
+				reachable.push_back(i);
 			}
 		}
-		view.set_seen(seen);
+		view.set_seen(reachable);
 		if (nullptr != _node.lent)
 		{
 			_node.lent->tick();
@@ -311,33 +311,34 @@
 
 	void send(int _from, int _to, const std::vector<std::uint8_t>& _bytes)
 	{
-		m_bytes += _bytes.size() + k_headers;
+		m_bytes += _bytes.size() + k_header_bytes;
 		if (std::uniform_real_distribution<double>()(m_random) < m_loss)
 		{
 			return;
 		}
-		const ms delay = _from % 3 == _to % 3 ? k_near : k_far;
-		m_under_way.emplace(m_clock.steady() + delay, datagram{_from, _to, _bytes});
+		const ms delay = _from % 3 == _to % 3 ? k_delay_in_region : k_delay_between_regions;
+		m_in_transit.emplace(m_clock.steady() + delay, datagram{_from, _to, _bytes});
 	}
 
 	void deliver()
 	{
-		while (!m_under_way.empty() && m_under_way.begin()->first <= m_clock.steady())
+		while (!m_in_transit.empty() && m_in_transit.begin()->first <= m_clock.steady())
 		{
-			const datagram one = std::move(m_under_way.begin()->second);
-			m_under_way.erase(m_under_way.begin());
-			const model_node& from = m_nodes.at(static_cast<std::size_t>(one.from));
-			const model_node& to = m_nodes.at(static_cast<std::size_t>(one.to));
+			const datagram delivered = std::move(m_in_transit.begin()->second);
+			m_in_transit.erase(m_in_transit.begin());
+			const model_node& from = m_nodes.at(static_cast<std::size_t>(delivered.from));
+			const model_node& to = m_nodes.at(static_cast<std::size_t>(delivered.to));
 			if (from.cut || to.cut || to.dead || nullptr == to.lent)
 			{
 				continue;
 			}
-			result<quota_message> decoded = decode_quota_message(one.bytes.data(), one.bytes.size());
-			to.lent->on_message(*value_of(decoded), std::to_string(one.from));
+			result<quota_message> decoded =
+			    decode_quota_message(delivered.bytes.data(), delivered.bytes.size());
+			to.lent->on_message(*value_of(decoded), std::to_string(delivered.from));
 		}
 	}
 
-	quota_way m_way;
+	quota_strategy m_strategy;
 	double m_loss;
 	std::minstd_rand m_random;
 	asio::io_context m_context{1};
@@ -345,14 +346,15 @@
 	entry_log m_log{"model", -1};
 	std::shared_ptr<const routing_table> m_routes;
 	std::vector<model_node> m_nodes;
-	std::map<std::uint64_t, customer_figures> m_figures;
-	std::multimap<steady_time, datagram> m_under_way;
+	std::map<std::uint64_t, customer_counts> m_counts; ///< By id of the customer.
+	std::multimap<steady_time, datagram> m_in_transit;
 	std::size_t m_bytes = 0;
 	int m_steps = 0;
 };
 
-/// Customers whose limits fall off as 1/k^0.8, with a burst of one second.
-std::vector<customer> usual_customers(int _customers, double _all_per_s)
+/// @returns Customers whose limits decrease as 1/k^0.8, with a burst of one second.
+/// @param[in] _total_per_s Sum of the limits, requests a second.
+std::vector<customer> typical_customers(int _customers, double _total_per_s)
 {
 	double sum = 0.0;
 	for (int k = 1; k <= _customers; ++k)
@@ -362,24 +364,24 @@
 	std::vector<customer> customers;
 	for (int k = 1; k <= _customers; ++k)
 	{
-		customer one;
-		one.name = customer_name("c" + std::to_string(k));
-		one.limit.per_s = std::max(1.0, std::round(_all_per_s * std::pow(k, -0.8) / sum));
-		one.limit.burst = one.limit.per_s;
-		customers.push_back(one);
+		customer added;
+		added.name = customer_name("c" + std::to_string(k));
+		added.limit.per_s = std::max(1.0, std::round(_total_per_s * std::pow(k, -0.8) / sum));
+		added.limit.burst = added.limit.per_s;
+		customers.push_back(added);
 	}
 	return customers;
 }
 
-/// Requests of all customers at a part of their limits, from callers at all nodes.
-class usual_load
+/// Requests of all customers at a fraction of their limits, from callers at all nodes.
+class typical_load
 {
 public:
-	usual_load(quota_model& _model, double _part) : m_model(_model)
+	typical_load(quota_model& _model, double _fraction) : m_model(_model)
 	{
 		for (std::size_t i = 0; i < _model.customers(); ++i)
 		{
-			m_rates.push_back(_part * _model.at(i).limit.per_s);
+			m_rates.push_back(_fraction * _model.at(i).limit.per_s);
 		}
 	}
 	void set_rate(std::size_t _customer, double _per_s)
@@ -397,14 +399,14 @@
 				const int requests = std::poisson_distribution<int>(mean)(m_model.random());
 				for (int request = 0; request < requests; ++request)
 				{
-					m_model.ask(
+					m_model.request(
 					    i, std::uniform_int_distribution<int>(0, m_model.nodes() - 1)(m_model.random()));
 				}
 			}
 		}
 	}
-	/// The same, and all that waits is decided.
-	void run_out(ms _time)
+	/// Like run(), and then lets pending decisions complete.
+	void run_and_settle(ms _time)
 	{
 		run(_time);
 		m_model.idle(ms(1000));
@@ -422,44 +424,44 @@
 	       k_bounds.slack;
 }
 
-/// @returns The most of any window of any customer, as a part of what is allowed.
-double most_of_allowed(quota_model& _model)
+/// @returns Maximum of the granted requests in any window of any customer, relative to the allowed number.
+double max_utilization(quota_model& _model)
 {
-	double most = 0.0;
+	double highest = 0.0;
 	for (std::size_t i = 0; i < _model.customers(); ++i)
 	{
-		const double in_window = static_cast<double>(_model.figures(i).most_in_window);
-		most = std::max(most, in_window / allowed_in_window(_model.at(i)));
+		const double in_window = static_cast<double>(_model.counts(i).max_in_window);
+		highest = std::max(highest, in_window / allowed_in_window(_model.at(i)));
 	}
-	return most;
+	return highest;
 }
 
-/// @returns Requests that were owed and refused, as a part of those owed.
-double refused_below(quota_model& _model)
+/// @returns Fraction of the requests within the limits that were refused.
+double refused_within_limit(quota_model& _model)
 {
 	double refused = 0.0;
-	double owed = 0.0;
+	double entitled = 0.0;
 	for (std::size_t i = 0; i < _model.customers(); ++i)
 	{
-		refused += _model.figures(i).refused_below();
-		owed += _model.figures(i).owed;
+		refused += _model.counts(i).refused_within_limit();
+		entitled += _model.counts(i).entitled;
 	}
-	return owed > 0.0 ? refused / owed : 0.0;
+	return entitled > 0.0 ? refused / entitled : 0.0;
 }
 } // namespace
 
 class quota_model_test : public CppUnit::TestFixture
 {
 	CPPUNIT_TEST_SUITE(quota_model_test);
-	CPPUNIT_TEST(usual_day_of_67_nodes_refuses_less_than_one_in_a_thousand);
-	CPPUNIT_TEST(surge_of_one_customer_keeps_the_bound_and_spares_the_others);
+	CPPUNIT_TEST(typical_load_on_67_nodes_refuses_less_than_one_in_a_thousand);
+	CPPUNIT_TEST(surge_of_one_customer_keeps_the_bound_and_does_not_affect_others);
 	CPPUNIT_TEST(all_callers_at_one_node_are_served_as_at_all_nodes);
-	CPPUNIT_TEST(third_of_the_nodes_cut_off_keeps_the_bound);
-	CPPUNIT_TEST(lender_that_dies_is_replaced_within_a_second);
+	CPPUNIT_TEST(partition_of_a_third_of_the_nodes_keeps_the_bound);
+	CPPUNIT_TEST(lender_that_fails_is_replaced_within_a_second);
 	CPPUNIT_TEST(lender_that_learns_late_of_a_change_lends_no_second_burst);
 	CPPUNIT_TEST(all_nodes_restarted_at_once_keep_the_bound);
-	CPPUNIT_TEST(bytes_of_a_node_do_not_grow_with_the_fleet);
-	CPPUNIT_TEST(faults_at_random_never_exceed_the_bound);
+	CPPUNIT_TEST(bytes_sent_by_a_node_do_not_grow_with_the_fleet);
+	CPPUNIT_TEST(random_faults_never_exceed_the_bound);
 	CPPUNIT_TEST_SUITE_END();
 
 protected:
@@ -468,60 +470,61 @@
 		if (nullptr != std::getenv("LARKRACK_FIGURES"))
 		{
 			std::cout << _what << ": nodes " << _model.nodes() << ", refused below the limit "
-			          << refused_below(_model) << ", most of what is allowed " << most_of_allowed(_model)
-			          << ", bytes a node and second " << _model.bytes_per_node_and_s() << "\n";
+			          << refused_within_limit(_model) << ", most of what is allowed "
+			          << max_utilization(_model) << ", bytes a node and second "
+			          << _model.bytes_per_node_and_s() << "\n";
 		}
 	}
 
-	void usual_day_of_67_nodes_refuses_less_than_one_in_a_thousand()
+	void typical_load_on_67_nodes_refuses_less_than_one_in_a_thousand()
 	{
-		quota_model lent(quota_way::lent, 67, usual_customers(76, 2070.0), 0.0, 1);
-		usual_load(lent, 0.67).run_out(ms(10000));
+		quota_model lent(quota_strategy::lent_tokens, 67, typical_customers(76, 2070.0), 0.0, 1);
+		typical_load(lent, 0.67).run_and_settle(ms(10000));
 		print("lent, usual day", lent);
-		CPPUNIT_ASSERT(refused_below(lent) < 0.001);
-		quota_model fixed(quota_way::fixed_part, 67, usual_customers(76, 2070.0), 0.0, 1);
-		usual_load(fixed, 0.67).run_out(ms(10000));
+		CPPUNIT_ASSERT(refused_within_limit(lent) < 0.001);
+		quota_model fixed(quota_strategy::fixed_share, 67, typical_customers(76, 2070.0), 0.0, 1);
+		typical_load(fixed, 0.67).run_and_settle(ms(10000));
 		print("fixed part, usual day", fixed);
-		CPPUNIT_ASSERT(refused_below(fixed) > 0.05); // What the other way would cost.
+		CPPUNIT_ASSERT(refused_within_limit(fixed) > 0.05); // The cost of the other strategy.
 	}
 
-	void surge_of_one_customer_keeps_the_bound_and_spares_the_others()
+	void surge_of_one_customer_keeps_the_bound_and_does_not_affect_others()
 	{
-		quota_model model(quota_way::lent, 67, usual_customers(76, 2070.0), 0.05, 2);
-		usual_load load(model, 0.67);
+		quota_model model(quota_strategy::lent_tokens, 67, typical_customers(76, 2070.0), 0.05, 2);
+		typical_load load(model, 0.67);
 		load.run(ms(4000));
 		load.set_rate(0, 10.0 * model.at(0).limit.per_s);
 		load.run(ms(6000));
 		print("lent, surge, 5% lost", model);
-		CPPUNIT_ASSERT(most_of_allowed(model) <= 1.0);
+		CPPUNIT_ASSERT(max_utilization(model) <= 1.0);
 		double others = 0.0;
 		for (std::size_t i = 1; i < model.customers(); ++i)
 		{
-			others += model.figures(i).refused_below();
+			others += model.counts(i).refused_within_limit();
 		}
 		CPPUNIT_ASSERT(others < 100.0); // Of about 12,000.
-		const customer_figures& hot = model.figures(0);
-		CPPUNIT_ASSERT(hot.refused_below() < hot.owed / 10);
+		const customer_counts& hot = model.counts(0);
+		CPPUNIT_ASSERT(hot.refused_within_limit() < hot.entitled / 10);
 	}
 
 	void all_callers_at_one_node_are_served_as_at_all_nodes()
 	{
-		quota_model model(quota_way::lent, 67, usual_customers(10, 200.0), 0.0, 3);
+		quota_model model(quota_strategy::lent_tokens, 67, typical_customers(10, 200.0), 0.0, 3);
 		for (int i = 0; i < 1000; ++i)
 		{
 			model.step();
-			model.ask(0, 5);
+			model.request(0, 5);
 		}
 		model.idle(ms(1000));
 		print("lent, callers at one node", model);
-		CPPUNIT_ASSERT(most_of_allowed(model) <= 1.0);
-		CPPUNIT_ASSERT(refused_below(model) < 0.1); // It asks for more than its limit all the time.
+		CPPUNIT_ASSERT(max_utilization(model) <= 1.0);
+		CPPUNIT_ASSERT(refused_within_limit(model) < 0.1); // The customer exceeds its limit all the time.
 	}
 
-	void third_of_the_nodes_cut_off_keeps_the_bound()
+	void partition_of_a_third_of_the_nodes_keeps_the_bound()
 	{
-		quota_model model(quota_way::lent, 67, usual_customers(76, 2070.0), 0.0, 4);
-		usual_load load(model, 0.67);
+		quota_model model(quota_strategy::lent_tokens, 67, typical_customers(76, 2070.0), 0.0, 4);
+		typical_load load(model, 0.67);
 		load.run(ms(3000));
 		load.set_rate(0, 10.0 * model.at(0).limit.per_s);
 		for (int node = 0; node < 23; ++node)
@@ -539,47 +542,48 @@
 		model.refresh_views();
 		load.run(ms(5000));
 		print("lent, a third cut off for 8 s, surge", model);
-		CPPUNIT_ASSERT(most_of_allowed(model) <= 1.0);
+		CPPUNIT_ASSERT(max_utilization(model) <= 1.0);
 	}
 
-	void lender_that_dies_is_replaced_within_a_second()
+	void lender_that_fails_is_replaced_within_a_second()
 	{
-		quota_model model(quota_way::lent, 9, usual_customers(40, 400.0), 0.0, 5);
-		usual_load load(model, 0.5);
+		quota_model model(quota_strategy::lent_tokens, 9, typical_customers(40, 400.0), 0.0, 5);
+		typical_load load(model, 0.5);
 		load.run(ms(3000));
 		model.kill(4);
 		load.run(ms(1500));
-		const double before = refused_below(model);
+		const double before = refused_within_limit(model);
 		load.run(ms(1000));
 		print("lent, a lender dead and not known to be", model);
 		CPPUNIT_ASSERT(before < 0.05);
-		CPPUNIT_ASSERT(refused_below(model) < 0.05);
-		CPPUNIT_ASSERT(most_of_allowed(model) <= 1.0);
+		CPPUNIT_ASSERT(refused_within_limit(model) < 0.05);
+		CPPUNIT_ASSERT(max_utilization(model) <= 1.0);
 	}
 
-	/// The first lender dies; the node that asks sees that before the next lender does.
+	/// The first lender fails, and the borrowing node learns of that before the next lender does. Guards
+	/// against a new lender that lends a full burst although the former lender may have lent one already.
 	void lender_that_learns_late_of_a_change_lends_no_second_burst()
 	{
-		quota_model model(quota_way::lent, 3, usual_customers(1, 100.0), 0.0, 8);
+		quota_model model(quota_strategy::lent_tokens, 3, typical_customers(1, 100.0), 0.0, 8);
 		const int lender = model.first_lender(0);
-		const int asker = (lender + 1) % 3;
+		const int borrower = (lender + 1) % 3;
 		model.kill(lender);
-		model.refresh_view(asker);
+		model.refresh_view(borrower);
 		for (int i = 0; i < 20; ++i) // 100 ms, and 200 requests.
 		{
 			model.step();
 			for (int request = 0; request < 10; ++request)
 			{
-				model.ask(0, asker);
+				model.request(0, borrower);
 			}
 		}
-		CPPUNIT_ASSERT(model.figures(0).granted_in_all < 20);
+		CPPUNIT_ASSERT(model.counts(0).total_granted < 20);
 	}
 
 	void all_nodes_restarted_at_once_keep_the_bound()
 	{
-		quota_model model(quota_way::lent, 67, usual_customers(76, 2070.0), 0.0, 6);
-		usual_load load(model, 0.67);
+		quota_model model(quota_strategy::lent_tokens, 67, typical_customers(76, 2070.0), 0.0, 6);
+		typical_load load(model, 0.67);
 		load.set_rate(0, 10.0 * model.at(0).limit.per_s);
 		load.run(ms(5000));
 		for (int node = 0; node < model.nodes(); ++node)
@@ -594,34 +598,35 @@
 		model.refresh_views();
 		load.run(ms(5000));
 		print("lent, all restarted", model);
-		CPPUNIT_ASSERT(most_of_allowed(model) <= 1.0);
+		CPPUNIT_ASSERT(max_utilization(model) <= 1.0);
 	}
 
-	void bytes_of_a_node_do_not_grow_with_the_fleet()
+	void bytes_sent_by_a_node_do_not_grow_with_the_fleet()
 	{
 		double last = 0.0;
 		for (const int nodes : {9, 67, 295})
 		{
-			// As many requests for each node.
-			quota_model model(quota_way::lent, nodes, usual_customers(76, 30.0 * nodes), 0.0, 7);
-			usual_load(model, 0.67).run_out(ms(3000));
+			// The same number of requests for each node.
+			quota_model model(
+			    quota_strategy::lent_tokens, nodes, typical_customers(76, 30.0 * nodes), 0.0, 7);
+			typical_load(model, 0.67).run_and_settle(ms(3000));
 			print("lent, usual day", model);
 			last = model.bytes_per_node_and_s();
 			CPPUNIT_ASSERT(last < 4000.0);
 		}
 	}
 
-	void faults_at_random_never_exceed_the_bound()
+	void random_faults_never_exceed_the_bound()
 	{
 		const bool held = rc::check("no customer has more than the bounds allow in a window",
 		    []()
 		    {
 			    const int nodes = *rc::gen::inRange(2, 40);
 			    const double loss = *rc::gen::inRange(0, 10) / 100.0;
-			    quota_model model(quota_way::lent, nodes,
-			        usual_customers(5, 10.0 * *rc::gen::inRange(1, 100)), loss,
+			    quota_model model(quota_strategy::lent_tokens, nodes,
+			        typical_customers(5, 10.0 * *rc::gen::inRange(1, 100)), loss,
 			        static_cast<unsigned>(*rc::gen::inRange(1, 1000000)));
-			    usual_load load(model, 0.67);
+			    typical_load load(model, 0.67);
 			    load.set_rate(0, 8.0 * model.at(0).limit.per_s);
 			    load.run(ms(1000));
 			    for (int fault = 0; fault < 4; ++fault)
@@ -633,7 +638,8 @@
 					    model.kill(node);
 					    break;
 				    case 1:
-					    // Without the store and other nodes it has no configuration, and takes no request.
+					    // Without the store and other nodes, a restarted node has no configuration and
+					    // accepts no requests.
 					    if (!model.is_cut(node))
 					    {
 						    model.start(node);
@@ -650,7 +656,7 @@
 				    model.refresh_views();
 				    load.run(ms(*rc::gen::inRange(1, 20) * 100));
 			    }
-			    RC_ASSERT(most_of_allowed(model) <= 1.0);
+			    RC_ASSERT(max_utilization(model) <= 1.0);
 		    });
 		CPPUNIT_ASSERT(held);
 	}
