--- a/tests/fleet_model_test.cpp
+++ b/tests/fleet_model_test.cpp
@@ -93,8 +93,8 @@
 		return least;
 	}
 
+	/// @param[in] _in_region Counts the nodes of that node's region; otherwise, those of the other regions.
 	/// @returns Number of other live nodes that list a node as live and ready.
-	/// @param[in] _in_region Counts nodes of that node's region; otherwise, those of the other regions.
 	int count_nodes_listing_as_live(int _node, bool _in_region) const
 	{
 		int listing = 0;
--- a/tests/quota_model_test.cpp
+++ b/tests/quota_model_test.cpp
@@ -352,8 +352,8 @@
 	int m_steps = 0;
 };
 
-/// @returns Customers whose limits decrease as 1/k^0.8, with a burst of one second.
 /// @param[in] _total_per_s Sum of the limits, requests a second.
+/// @returns Customers whose limits decrease as 1/k^0.8, with a burst of one second.
 std::vector<customer> typical_customers(int _customers, double _total_per_s)
 {
 	double sum = 0.0;
@@ -454,7 +454,7 @@
 {
 	CPPUNIT_TEST_SUITE(quota_model_test);
 	CPPUNIT_TEST(typical_load_on_67_nodes_refuses_less_than_one_in_a_thousand);
-	CPPUNIT_TEST(surge_of_one_customer_keeps_the_bound_and_does_not_affect_others);
+	CPPUNIT_TEST(surge_of_one_customer_keeps_the_bound_and_hardly_affects_others);
 	CPPUNIT_TEST(all_callers_at_one_node_are_served_as_at_all_nodes);
 	CPPUNIT_TEST(partition_of_a_third_of_the_nodes_keeps_the_bound);
 	CPPUNIT_TEST(lender_that_fails_is_replaced_within_a_second);
@@ -488,7 +488,7 @@
 		CPPUNIT_ASSERT(refused_within_limit(fixed) > 0.05); // The cost of the other strategy.
 	}
 
-	void surge_of_one_customer_keeps_the_bound_and_does_not_affect_others()
+	void surge_of_one_customer_keeps_the_bound_and_hardly_affects_others()
 	{
 		quota_model model(quota_strategy::lent_tokens, 67, typical_customers(76, 2070.0), 0.05, 2);
 		typical_load load(model, 0.67);
