--- a/src/entry_node/fleet.cpp
+++ b/src/entry_node/fleet.cpp
@@ -11,15 +11,16 @@
 {
 namespace
 {
-/// Addresses that one heartbeat tells. More: larger datagrams. Fewer: a new node finds the others later; they
-/// find it with its first heartbeat. Not measured.
+/// Maximum number of addresses in one heartbeat. Higher: larger datagrams. Lower: a new node discovers the
+/// others later; they discover it by its first heartbeat.
 constexpr std::size_t k_told_addresses = 64;
 
-/// Addresses of other failure domains among them where these are told of by digests: more are tried by each
-/// node of a large failure domain, which the digests are to end. Fewer: none of them may be live.
-constexpr std::size_t k_told_foreign = 8;
+/// Number of addresses of other failure domains among them when digests describe these. Higher: each node of
+/// a large failure domain sends heartbeats to more of them, which digests are meant to avoid. Lower: possibly
+/// none of them is live.
+constexpr std::size_t k_listed_foreign_addresses = 8;
 
-std::size_t told_addresses(std::size_t _known)
+std::size_t listed_addresses(std::size_t _known)
 {
 	return std::min(_known, k_told_addresses);
 }
@@ -36,7 +37,7 @@
 	return m_domains.end() == it ? 0 : it->second.nodes;
 }
 
-void fleet::enter(fleet_member& _member)
+void fleet::add_to_indices(fleet_member& _member)
 {
 	failure_domain_view& domain = m_domains[_member.last.domain];
 	domain.where = node_liveness::proximity_of(m_self, _member.last);
@@ -44,10 +45,10 @@
 	_member.domain = &domain;
 	_member.name_hash = short_hash(_member.last.node.text);
 	m_by_hash[_member.name_hash] = &_member;
-	on_counts_changed();
+	on_node_count_changed();
 }
 
-void fleet::leave(const fleet_member& _member)
+void fleet::remove_from_indices(const fleet_member& _member)
 {
 	const auto domain = m_domains.find(_member.last.domain);
 	if (m_domains.end() != domain && 0 == --domain->second.nodes)
@@ -61,7 +62,7 @@
 	}
 }
 
-void fleet::on_counts_changed()
+void fleet::on_node_count_changed()
 {
 	std::size_t in_region = 1;
 	const node_liveness pace = liveness();
@@ -74,17 +75,17 @@
 	m_live.outdated = true;
 }
 
-void fleet::set_address(const std::string& _before, const std::string& _ip)
+void fleet::replace_address(const std::string& _old_ip, const std::string& _ip)
 {
-	if (_before == _ip)
+	if (_old_ip == _ip)
 	{
 		return;
 	}
-	const auto before = m_member_ips.find(_before);
+	const auto before = m_member_ips.find(_old_ip);
 	if (m_member_ips.end() != before && 0 == --before->second)
 	{
 		m_member_ips.erase(before);
-		add_address(_before);
+		add_address(_old_ip);
 	}
 	if (!_ip.empty())
 	{
@@ -93,7 +94,7 @@
 	}
 }
 
-void fleet::note_knowledge(const node_heartbeat& _live) const
+void fleet::raise_known_revisions(const node_heartbeat& _live) const
 {
 	m_highest_revision = std::max(m_highest_revision, _live.store_revision);
 	m_highest_config = std::max(m_highest_config, _live.config_version);
@@ -109,7 +110,8 @@
 	fleet_member& member = m_members[_heartbeat.node];
 	const bool is_new = member.last.incarnation != _heartbeat.incarnation;
 	const bool is_unknown = nullptr == member.domain;
-	// Its own silence counts here: neighbours may tell of the life that this heartbeat is of.
+	// Uses the time since the node's own heartbeats, since its neighbours may already report the incarnation
+	// that this heartbeat belongs to.
 	const auto longest = liveness().longest_own_silence(node_liveness::proximity_of(m_self, member.last));
 	if (node_liveness::outdated(_heartbeat, member.last, now - member.heard_at <= longest))
 	{
@@ -119,17 +121,18 @@
 	const bool moves = !is_unknown && member.last.domain != _heartbeat.domain;
 	if (moves)
 	{
-		leave(member);
+		remove_from_indices(member);
 	}
 	m_live.outdated = m_live.outdated || is_new || member.last.state != _heartbeat.state;
-	set_address(member.last.ip, _heartbeat.ip);
+	replace_address(member.last.ip, _heartbeat.ip);
 	member.last = _heartbeat;
 	member.heard_at = now;
-	m_heard_at = now;
+	m_last_heartbeat_at = now;
 	member.sign_at = now;
 	if (proximity::domain == where || !liveness().tells_by_digests())
 	{
-		// Told more rarely than requests last, it would count what has ended long ago.
+		// Otherwise heartbeats are rarer than requests are long, and the counts would include requests that
+		// ended long ago.
 		m_backends.set_in_flight_of_node(_heartbeat.node, _heartbeat.in_flight);
 	}
 	for (const std::string& ip : _heartbeat.known_ips)
@@ -138,79 +141,79 @@
 	}
 	if (is_unknown || moves)
 	{
-		enter(member);
+		add_to_indices(member);
 	}
-	note_knowledge(member.last);
-	take_news(_heartbeat);
+	raise_known_revisions(member.last);
+	apply_neighbour_reports(_heartbeat);
 	member.last.forget_lists();
 	if (!is_new)
 	{
 		return greeting::none;
 	}
 	const greeting due =
-	    node_liveness::greeting_for(_heartbeat.known_ips.size(), told_addresses(m_members.size() - 1));
-	// Failure domains that send digests hear of each other by these.
+	    node_liveness::greeting_for(_heartbeat.known_ips.size(), listed_addresses(m_members.size() - 1));
+	// Failure domains that send digests learn about each other's nodes from these.
 	const bool by_digest = proximity::domain != where && liveness().tells_by_digests();
 	return by_digest && greeting::heartbeat == due ? greeting::none : due;
 }
 
-void fleet::take_news(const node_heartbeat& _teller)
+void fleet::apply_neighbour_reports(const node_heartbeat& _sender)
 {
 	const steady_time now = m_clock.steady();
-	for (const neighbour_news& news : _teller.neighbours)
+	for (const neighbour_news& report : _sender.neighbours)
 	{
-		const auto it = m_by_hash.find(news.name_hash);
-		if (m_by_hash.end() == it || it->second->last.domain != _teller.domain)
+		const auto it = m_by_hash.find(report.name_hash);
+		if (m_by_hash.end() == it || it->second->last.domain != _sender.domain)
 		{
-			continue; // It may tell of its own failure domain only.
+			continue; // A node may report nodes of its own failure domain only.
 		}
 		fleet_member& member = *it->second;
-		const steady_time at = now - news.age;
+		const steady_time at = now - report.age;
 		if (at > member.sign_at)
 		{
 			member.sign_at = at;
-			note_knowledge(member.last); // It may have counted as dead.
+			raise_known_revisions(member.last); // The member may have counted as dead.
 		}
 		if (at > member.heard_at)
 		{
-			m_live.outdated = m_live.outdated || member.last.state != news.state;
-			member.last.state = news.state;
+			m_live.outdated = m_live.outdated || member.last.state != report.state;
+			member.last.state = report.state;
 		}
 	}
 }
 
-std::size_t fleet::window_begin(std::size_t _all, std::size_t _told) const
+std::size_t fleet::first_listed(std::size_t _all, std::size_t _listed) const
 {
-	// One more than is told, so that nodes that hear each k-th heartbeat don't hear of the same things
-	// always.
-	return (rendezvous_weight(m_self.node.text, 0) + m_self.sequence * (_told + 1)) % _all;
+	// Advances by one more than the number of listed items: nodes that get every k-th heartbeat would
+	// otherwise always get the same items.
+	return (rendezvous_weight(m_self.node.text, 0) + m_self.sequence * (_listed + 1)) % _all;
 }
 
-std::vector<neighbour_news> fleet::news_of_neighbours() const
+std::vector<neighbour_news> fleet::neighbour_reports() const
 {
-	std::vector<neighbour_news> news;
+	std::vector<neighbour_news> reports;
 	if (!liveness().tells_neighbours())
 	{
-		return news;
+		return reports;
 	}
 	const steady_time now = m_clock.steady();
 	for (const auto& [name, member] : m_members)
 	{
 		if (member.last.domain == m_self.domain && alive(member, now))
 		{
-			news.push_back({short_hash(name.text), member.last.state,
+			reports.push_back({short_hash(name.text), member.last.state,
 			    std::chrono::duration_cast<std::chrono::milliseconds>(now - member.heard_at)});
 		}
 	}
-	if (news.empty())
+	if (reports.empty())
 	{
-		return news;
+		return reports;
 	}
-	const std::size_t told = node_liveness::told_neighbours(news.size());
-	const auto begin = news.begin() + static_cast<std::ptrdiff_t>(window_begin(news.size(), told));
-	std::rotate(news.begin(), begin, news.end());
-	news.resize(told);
-	return news;
+	const std::size_t listed = node_liveness::told_neighbours(reports.size());
+	const auto begin = reports.begin() + static_cast<std::ptrdiff_t>(first_listed(reports.size(), listed));
+	std::rotate(reports.begin(), begin, reports.end());
+	reports.resize(listed);
+	return reports;
 }
 
 void fleet::add_address(const std::string& _ip)
@@ -221,13 +224,14 @@
 	}
 }
 
-bool fleet::is_due(const fleet_member& _member, const node_liveness& _pace, steady_time _now) const
+bool fleet::is_heartbeat_due(const fleet_member& _member, const node_liveness& _pace, steady_time _now) const
 {
 	const proximity where = node_liveness::proximity_of(m_self, _member.last);
-	// A far node that is silent is asked as often as one of the region, so that it is found again.
-	const bool found_anew = proximity::far == where && !alive(_member, _now);
+	// A silent node of another region gets heartbeats as often as a node of this region, to detect its
+	// return.
+	const bool is_silent_far = proximity::far == where && !alive(_member, _now);
 	return _pace.is_turn(
-	    m_self.node, _member.last.node, m_self.sequence, found_anew ? proximity::region : where);
+	    m_self.node, _member.last.node, m_self.sequence, is_silent_far ? proximity::region : where);
 }
 
 std::vector<std::string> fleet::targets()
@@ -237,7 +241,7 @@
 	std::vector<std::string> targets;
 	for (const auto& [name, member] : m_members)
 	{
-		if (is_due(member, pace, now))
+		if (is_heartbeat_due(member, pace, now))
 		{
 			targets.push_back(member.last.ip);
 		}
@@ -253,14 +257,14 @@
 	return targets;
 }
 
-std::vector<std::string> fleet::some_addresses(const domain_name& _for) const
+std::vector<std::string> fleet::sample_addresses(const domain_name& _for) const
 {
 	const auto any = [](const node_heartbeat&)
 	{
 		return true;
 	};
 	std::vector<const node_heartbeat*> live = live_with(any);
-	std::size_t told = told_addresses(live.size());
+	std::size_t listed = listed_addresses(live.size());
 	const auto is_foreign = [&_for](const node_heartbeat* _node)
 	{
 		return _node->domain != _for;
@@ -273,18 +277,18 @@
 	std::vector<std::string> addresses;
 	if (uses_digests(static_cast<std::size_t>(foreign - live.begin())))
 	{
-		// The others are told of by digests; a few of them are enough to send these to.
-		for (std::size_t i = 0; i < k_told_foreign && foreign + static_cast<std::ptrdiff_t>(i) != live.end();
-		     ++i)
+		// Digests describe the nodes of other failure domains; a few addresses are enough to send digests to.
+		for (std::size_t i = 0;
+		     i < k_listed_foreign_addresses && foreign + static_cast<std::ptrdiff_t>(i) != live.end(); ++i)
 		{
 			addresses.push_back((*(foreign + static_cast<std::ptrdiff_t>(i)))->ip);
 		}
 		live.erase(foreign, live.end());
-		told = told_addresses(live.size());
+		listed = listed_addresses(live.size());
 	}
-	const std::size_t begin = live.empty() ? 0 : window_begin(live.size(), told);
-	addresses.reserve(addresses.size() + told);
-	for (std::size_t i = 0; i < told; ++i)
+	const std::size_t begin = live.empty() ? 0 : first_listed(live.size(), listed);
+	addresses.reserve(addresses.size() + listed);
+	for (std::size_t i = 0; i < listed; ++i)
 	{
 		addresses.push_back(live[(begin + i) % live.size()]->ip);
 	}
@@ -298,7 +302,7 @@
 	m_self.known_ips.clear();
 	if (greeting::introduction == _greeting)
 	{
-		m_self.known_ips = some_addresses(_for);
+		m_self.known_ips = sample_addresses(_for);
 	}
 	return m_self;
 }
@@ -306,11 +310,11 @@
 node_heartbeat fleet::next()
 {
 	++m_self.sequence;
-	m_self.neighbours = news_of_neighbours();
+	m_self.neighbours = neighbour_reports();
 	m_self.known_ips.clear();
 	if (liveness().tells_addresses(m_self.sequence))
 	{
-		m_self.known_ips = some_addresses(m_self.domain);
+		m_self.known_ips = sample_addresses(m_self.domain);
 	}
 	return m_self;
 }
@@ -335,7 +339,8 @@
 		}
 		if (!now_alive)
 		{
-			// What it has in flight now is not known; the reports of backend servers are all there is.
+			// The requests that a dead node has in flight are unknown; only the load reports of the backend
+			// servers remain.
 			m_backends.set_in_flight_of_node(it->first, {});
 		}
 		if (!node_liveness::forgotten(now - member.sign_at))
@@ -343,13 +348,13 @@
 			++it;
 			continue;
 		}
-		leave(member);
-		set_address(member.last.ip, "");
+		remove_from_indices(member);
+		replace_address(member.last.ip, "");
 		it = m_members.erase(it);
 	}
 	if (m_members.size() != before)
 	{
-		on_counts_changed();
+		on_node_count_changed();
 	}
 }
 } // namespace larkrack
--- a/src/entry_node/fleet_answers.cpp
+++ b/src/entry_node/fleet_answers.cpp
@@ -13,16 +13,18 @@
 {
 namespace
 {
-/// Milliseconds without a heartbeat of any node after which this one counts as cut off, long before each
-/// other one counts as dead. Longer: it lends the whole limit of customers beside their stand-ins. Shorter: a
-/// node that stands still for a moment refuses callers. In the smallest fleet it is four heartbeats.
-constexpr std::chrono::milliseconds k_alone{400};
-/// Milliseconds after which what the live nodes come to is summed up anew. Longer: shares, warm-up and quotas
-/// follow a death or a change of demand later. Shorter: more passes through all nodes. Not measured.
-constexpr std::chrono::milliseconds k_longest_summary{250};
-
-/// Odd, so that sums of different sets of nodes differ but by chance; not a tuning value.
-constexpr std::uint64_t k_sum_factor = 0x9E3779B97F4A7C15ULL;
+/// Milliseconds without a heartbeat of any node after which this node counts itself as cut off, long before
+/// each other node counts as dead. Longer: this node lends the whole limits of customers while their stand-in
+/// lenders do the same. Shorter: a node that is paused for a moment refuses callers. In the smallest fleet
+/// this is the time of four heartbeats.
+constexpr std::chrono::milliseconds k_isolation_timeout{400};
+/// Maximum age in milliseconds of the totals over the live nodes. Longer: shares, warm-up and quotas follow
+/// the death of a node or a change of demand later. Shorter: more passes over all nodes.
+constexpr std::chrono::milliseconds k_max_summary_age{250};
+
+/// Multiplier of name hashes in checksums: odd, so that different sets of nodes collide only by chance. Not a
+/// tuning value.
+constexpr std::uint64_t k_checksum_factor = 0x9E3779B97F4A7C15ULL;
 /// Index of this node in the ring of nodes that warm up backend servers.
 constexpr std::size_t k_own_index = 0;
 
@@ -91,7 +93,7 @@
 	std::vector<const node_heartbeat*> live;
 	for (const auto& [name, member] : m_members)
 	{
-		if (is_near(member, now))
+		if (is_live_in_region(member, now))
 		{
 			live.push_back(&member.last);
 		}
@@ -99,20 +101,20 @@
 	return plan_reader(m_self, live);
 }
 
-const node_heartbeat* fleet::newer(std::int64_t _store_revision) const
+const node_heartbeat* fleet::peer_with_newer_keys(std::int64_t _store_revision) const
 {
 	if (m_highest_revision <= _store_revision)
 	{
 		return nullptr;
 	}
-	const auto knows_more = [_store_revision](const node_heartbeat& _node)
+	const auto is_newer = [_store_revision](const node_heartbeat& _node)
 	{
 		return _node.store_revision > _store_revision;
 	};
-	const node_heartbeat* peer = choose_peer(m_self, _store_revision, live_with(knows_more));
+	const node_heartbeat* peer = choose_peer(m_self, _store_revision, live_with(is_newer));
 	if (nullptr == peer)
 	{
-		m_highest_revision = _store_revision; // Those that knew more have died.
+		m_highest_revision = _store_revision; // The nodes with newer revisions have died.
 	}
 	return peer;
 }
@@ -135,7 +137,7 @@
 	return peer;
 }
 
-void fleet::note_copies(copy_view& _view) const
+void fleet::fill_copy_view(copy_view& _view) const
 {
 	const steady_time now = m_clock.steady();
 	const std::uint64_t own = rendezvous_weight(m_self.node.text, 0);
@@ -157,18 +159,18 @@
 	}
 }
 
-const node_heartbeat* fleet::copy_giver(copy_step _step, std::uint64_t _draw) const
+const node_heartbeat* fleet::choose_page_source(copy_step _step, std::uint64_t _draw) const
 {
-	const auto may_give = [this, _step](const node_heartbeat& _node)
+	const auto is_source = [this, _step](const node_heartbeat& _node)
 	{
 		const bool wanted = copy_step::from_anyone == _step ||
 		                    (copy_step::from_region == _step && _node.region == m_self.region) ||
 		                    (copy_step::from_domain == _step && _node.domain == m_self.domain);
 		return wanted && _node.store_revision > 0;
 	};
-	const std::vector<const node_heartbeat*> givers = live_with(may_give);
+	const std::vector<const node_heartbeat*> sources = live_with(is_source);
 	const std::uint64_t draw = rendezvous_weight(m_self.node.text, _draw);
-	return givers.empty() ? nullptr : givers[draw % givers.size()];
+	return sources.empty() ? nullptr : sources[draw % sources.size()];
 }
 
 std::vector<const node_heartbeat*> fleet::live_with(
@@ -186,7 +188,7 @@
 	return live;
 }
 
-std::vector<std::string> fleet::first_told_addresses() const
+std::vector<std::string> fleet::change_receivers() const
 {
 	const auto is_of_region = [this](const node_heartbeat& _node)
 	{
@@ -200,7 +202,7 @@
 	return addresses;
 }
 
-std::vector<std::string> fleet::told_on_addresses(const std::string& _sender_ip) const
+std::vector<std::string> fleet::change_relay_receivers(const std::string& _sender_ip) const
 {
 	const auto is_sender = [&_sender_ip](const node_heartbeat& _node)
 	{
@@ -229,7 +231,7 @@
 	std::vector<std::string> addresses;
 	for (const auto& [name, member] : m_members)
 	{
-		if (is_near(member, now))
+		if (is_live_in_region(member, now))
 		{
 			addresses.push_back(member.last.ip);
 		}
@@ -251,7 +253,7 @@
 	return addresses;
 }
 
-std::optional<steady_time> fleet::store_answered_at() const
+std::optional<steady_time> fleet::peers_store_response_time() const
 {
 	std::optional<steady_time> latest;
 	for (const auto& [name, member] : m_members)
@@ -269,16 +271,16 @@
 const live_summary& fleet::live() const
 {
 	const steady_time now = m_clock.steady();
-	if (!m_live.outdated && now - m_live.at < std::min(interval(), k_longest_summary))
+	if (!m_live.outdated && now - m_live.at < std::min(interval(), k_max_summary_age))
 	{
 		return m_live;
 	}
-	const bool self_takes = node_state::ready == m_self.state;
-	std::uint64_t takers_sum = self_takes ? 1 : 0;
-	std::uint64_t near_sum = 0;
+	const bool self_is_ready = node_state::ready == m_self.state;
+	std::uint64_t ready_checksum = self_is_ready ? 1 : 0;
+	std::uint64_t region_checksum = 0;
 	m_live.at = now;
 	m_live.outdated = false;
-	m_live.takers = self_takes ? 1 : 0;
+	m_live.ready_nodes = self_is_ready ? 1 : 0;
 	m_live.rates.clear();
 	for (const auto& [name, member] : m_members)
 	{
@@ -286,16 +288,17 @@
 		{
 			continue;
 		}
-		const bool takes = node_state::ready == member.last.state;
+		const bool is_ready = node_state::ready == member.last.state;
 		m_live.rates.add(m_self.node, member.last);
-		m_live.takers += takes ? 1 : 0;
-		takers_sum += takes ? k_sum_factor * (member.name_hash + 1ULL) : 0;
-		near_sum += member.last.region == m_self.region ? k_sum_factor * (member.name_hash + 1ULL) : 0;
+		m_live.ready_nodes += is_ready ? 1 : 0;
+		ready_checksum += is_ready ? k_checksum_factor * (member.name_hash + 1ULL) : 0;
+		region_checksum +=
+		    member.last.region == m_self.region ? k_checksum_factor * (member.name_hash + 1ULL) : 0;
 	}
-	m_live.takers_version += m_live.takers_sum == takers_sum && 0 != m_live.takers_version ? 0 : 1;
-	m_live.near_version += m_live.near_sum == near_sum && 0 != m_live.near_version ? 0 : 1;
-	m_live.takers_sum = takers_sum;
-	m_live.near_sum = near_sum;
+	m_live.ready_version += m_live.ready_checksum == ready_checksum && 0 != m_live.ready_version ? 0 : 1;
+	m_live.region_version += m_live.region_checksum == region_checksum && 0 != m_live.region_version ? 0 : 1;
+	m_live.ready_checksum = ready_checksum;
+	m_live.region_checksum = region_checksum;
 	return m_live;
 }
 
@@ -303,11 +306,11 @@
 {
 	const live_summary& summary = live();
 	lender_table& table = m_lenders[_region];
-	if (table.version == summary.takers_version)
+	if (table.version == summary.ready_version)
 	{
 		return table;
 	}
-	table.version = summary.takers_version;
+	table.version = summary.ready_version;
 	table.holders.clear();
 	std::vector<node_name> names;
 	const auto add = [&table, &names, &_region](const node_heartbeat& _node, const std::string& _ip)
@@ -330,30 +333,30 @@
 	return table;
 }
 
-const warmer_table& fleet::warmers() const
+const warmup_table& fleet::warmup_nodes() const
 {
 	const live_summary& summary = live();
-	if (m_warmers.version == summary.near_version)
+	if (m_warmup_nodes.version == summary.region_version)
 	{
-		return m_warmers;
+		return m_warmup_nodes;
 	}
-	m_warmers.version = summary.near_version;
+	m_warmup_nodes.version = summary.region_version;
 	std::vector<node_name> names{m_self.node};
 	for (const auto& [name, member] : m_members)
 	{
-		if (is_near(member, summary.at))
+		if (is_live_in_region(member, summary.at))
 		{
 			names.push_back(name);
 		}
 	}
-	m_warmers.nodes = names.size();
-	m_warmers.ring.build(names);
-	return m_warmers;
+	m_warmup_nodes.nodes = names.size();
+	m_warmup_nodes.ring.build(names);
+	return m_warmup_nodes;
 }
 
 double fleet::warmup_part(const backend_state& _backend) const
 {
-	const warmer_table& table = warmers();
+	const warmup_table& table = warmup_nodes();
 	const bool chosen = k_own_index == table.ring.owners_of(ring_place(_backend.id_hash)).first;
 	return plan_warmup(table.nodes, m_census.most_in_region(), chosen).part;
 }
@@ -376,28 +379,30 @@
 	return table.ring.empty() ? quota_holders{} : holders_of_table(table, _thing);
 }
 
-double fleet::in_sight_of(std::size_t _live) const
+double fleet::budget_sharers(std::size_t _live) const
 {
-	const bool alone = m_clock.steady() - m_heard_at > k_alone;
+	const bool alone = m_clock.steady() - m_last_heartbeat_at > k_isolation_timeout;
 	return alone ? 1.0 : std::max(1.0, static_cast<double>(_live));
 }
 
 nodes_in_sight fleet::in_sight() const
 {
 	const live_summary& summary = live();
-	return {in_sight_of(summary.takers), m_census.sharers().nodes, summary.takers_version};
+	return {budget_sharers(summary.ready_nodes), m_census.sharers().nodes, summary.ready_version};
 }
 
 nodes_in_sight fleet::in_sight_of_region() const
 {
-	// Counted here, so that the table of lenders is built only where a limit is named.
+	// Counts the nodes directly, so that the table of lenders is built only if a limit is configured.
 	const live_summary& summary = live();
-	std::size_t takers = node_state::ready == m_self.state ? 1 : 0;
+	std::size_t ready_nodes = node_state::ready == m_self.state ? 1 : 0;
 	for (const auto& [name, member] : m_members)
 	{
-		takers += node_state::ready == member.last.state && is_near(member, summary.at) ? 1 : 0;
+		ready_nodes +=
+		    node_state::ready == member.last.state && is_live_in_region(member, summary.at) ? 1 : 0;
 	}
-	return {in_sight_of(takers), static_cast<double>(m_census.most_in_region()), summary.takers_version};
+	return {
+	    budget_sharers(ready_nodes), static_cast<double>(m_census.most_in_region()), summary.ready_version};
 }
 
 rate_by_region fleet::demand_of_others(const service_name& _service) const
--- a/src/entry_node/fleet_digests.cpp
+++ b/src/entry_node/fleet_digests.cpp
@@ -14,7 +14,7 @@
 {
 	if (_digest.domain == m_self.domain)
 	{
-		return; // Its nodes are heard by themselves.
+		return; // Nodes of this failure domain send heartbeats to each other.
 	}
 	const steady_time now = m_clock.steady();
 	for (const digest_row& row : _digest.rows)
@@ -29,20 +29,20 @@
 		const bool moves = !is_unknown && member.last.domain != row.last.domain;
 		if (moves)
 		{
-			leave(member);
+			remove_from_indices(member);
 		}
 		m_live.outdated = m_live.outdated || member.last.state != row.last.state;
-		set_address(member.last.ip, row.last.ip);
+		replace_address(member.last.ip, row.last.ip);
 		member.last = row.last;
 		member.last.forget_lists();
 		member.heard_at = std::max(member.heard_at, at);
 		member.sign_at = std::max(member.sign_at, at);
-		m_heard_at = std::max(m_heard_at, at);
+		m_last_heartbeat_at = std::max(m_last_heartbeat_at, at);
 		if (is_unknown || moves)
 		{
-			enter(member);
+			add_to_indices(member);
 		}
-		note_knowledge(member.last);
+		raise_known_revisions(member.last);
 	}
 }
 
@@ -132,7 +132,7 @@
 	std::map<domain_name, const fleet_member*> best;
 	for (const auto& [name, member] : m_members)
 	{
-		if (proximity::domain == member.domain->where || now < m_digest_due[member.last.domain])
+		if (proximity::domain == member.domain->where || now < m_next_digest_at[member.last.domain])
 		{
 			continue;
 		}
@@ -146,7 +146,7 @@
 	}
 	for (const auto& [domain, member] : best)
 	{
-		m_digest_due[domain] = now + delegate_interval(member->domain->where);
+		m_next_digest_at[domain] = now + delegate_interval(member->domain->where);
 		targets.push_back(member->last.ip);
 	}
 	return targets;
--- a/src/entry_node/fleet_p.h
+++ b/src/entry_node/fleet_p.h
@@ -2,16 +2,18 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// The other nodes: who is there, who takes requests, what they carry.
+/// Membership table of the fleet: which other nodes exist, which are live and ready, and what load they
+/// report.
 ///
-/// Owns the table of nodes and the addresses at which nodes may be (fleet.cpp, fleet_digests.cpp); what
-/// others ask of it is answered in fleet_answers.cpp. What follows from the table is decided in src/steering:
-/// node_liveness, lookup_answer, store_readers, store_start, news_spread, shared_budgets, fleet_rates,
-/// slot_portion. Relies on entry_node to hand in heartbeats and to send those of this node.
+/// Owns the table of nodes and the candidate addresses of nodes that were not heard yet (fleet.cpp,
+/// fleet_digests.cpp); queries by other components are in fleet_answers.cpp. The rules that work on the table
+/// are in src/steering: node_liveness, lookup_answer, store_readers, store_start, news_spread,
+/// shared_budgets, fleet_rates, slot_portion. Relies on entry_node to pass in received heartbeats and to send
+/// the heartbeats of this node.
 ///
-/// Cost, with n nodes: a datagram takes steps for what it tells, none for each node; a node that comes or
-/// goes takes a step for each failure domain; tick() and next() go through all nodes. What goes through all
-/// nodes for a request goes through a list that is built anew only when a node comes, dies or changes its
+/// Cost: processing a datagram is linear in its contents and independent of the number of nodes; a node that
+/// joins or leaves costs one step per failure domain; tick() and next() iterate over all nodes. Queries on
+/// the path of a request use lists of nodes that are rebuilt only when a node joins, dies or changes its
 /// state.
 #pragma once
 
@@ -30,99 +32,108 @@
 
 namespace larkrack
 {
-/// Nodes that lend tokens, as of one change of them.
+/// Cached list of the nodes that lend tokens.
 struct lender_table
 {
-	std::uint64_t version = 0;
+	std::uint64_t version = 0; ///< Value of live_summary::ready_version that the table was built for.
 	std::vector<quota_holder> holders;
-	node_ring ring; ///< Of them.
+	node_ring ring; ///< Consistent hash ring of the holders, by index.
 };
 
-/// Nodes of this region that warm up cold backend servers, as of one change of them.
-struct warmer_table
+/// Cached list of the nodes of this region that warm up cold backend servers.
+struct warmup_table
 {
-	std::uint64_t version = 0;
-	std::size_t nodes = 0; ///< Live, this one among them.
-	node_ring ring;        ///< Of them; this one is the first.
+	std::uint64_t version = 0; ///< Value of live_summary::region_version that the table was built for.
+	std::size_t nodes = 0;     ///< Live nodes of the region, including this node.
+	node_ring ring;            ///< Consistent hash ring of these nodes; this node has index 0.
 };
 
-/// What the live nodes come to, as of one pass through all nodes.
+/// Cached totals over the live nodes, computed in one pass over the table.
 struct live_summary
 {
 	steady_time at{};
-	bool outdated = true;   ///< A node came or changed its state since.
-	fleet_rates rates;      ///< Of the other nodes.
-	std::size_t takers = 0; ///< Nodes that take requests, this one among them.
-	/// Sums over those that take requests, and over those of this region: they change when one comes or goes.
-	std::uint64_t takers_sum = 0;
-	std::uint64_t near_sum = 0;
-	std::uint64_t takers_version = 0; ///< Grows when the first changes.
-	std::uint64_t near_version = 0;   ///< Grows when the second changes.
+	bool outdated = true;        ///< Whether a node joined or changed its state since.
+	fleet_rates rates;           ///< Request rates of the other live nodes.
+	std::size_t ready_nodes = 0; ///< Ready nodes, including this node.
+	/// Checksums over the names of the ready nodes and of the live nodes of this region, to detect changes.
+	std::uint64_t ready_checksum = 0;
+	std::uint64_t region_checksum = 0;
+	std::uint64_t ready_version = 0;  ///< Incremented when ready_checksum changes.
+	std::uint64_t region_version = 0; ///< Incremented when region_checksum changes.
 };
 
-/// Keeps the table of nodes. No input and output of its own.
+/// Membership table of the fleet. Performs no input or output of its own.
 class fleet : public fleet_view_base
 {
 public:
-	/// @param[in] _self This node; its state and figures are set before each heartbeat.
-	/// @param[in] _backends Told what other nodes have in flight.
-	/// @param[in] _log Told of nodes that come and go.
+	/// @param[in] _self Heartbeat of this node; the caller updates its state and load through self() before
+	/// each heartbeat.
+	/// @param[in] _backends Receives the numbers of requests that other nodes have in flight.
+	/// @param[in] _log Receives an event for each node that dies or is live again.
 	fleet(const clock_base& _clock, node_heartbeat _self, backend_registry& _backends, entry_log& _log);
 
-	/// Takes a heartbeat of another node.
-	/// @returns What it is to be sent at once.
+	/// Applies a heartbeat of another node.
+	/// @returns The heartbeat that this node sends back at once, if any.
 	greeting hear(const node_heartbeat& _heartbeat);
-	/// Takes what another failure domain tells of its nodes.
+	/// Applies a digest of the nodes of another failure domain.
 	void hear_digest(const domain_digest& _digest);
-	/// @returns Addresses to which a digest that came from an address is passed on; mostly none.
+	/// @returns Addresses to which this node relays a digest received from _sender_ip; usually none.
 	std::vector<std::string> relay_addresses(
 	    const domain_digest& _digest, const std::string& _sender_ip) const;
-	/// @returns Parts of a new digest of this node's failure domain; none when this node has to send none.
+	/// @returns Parts of a new digest of this node's failure domain, one datagram each.
 	std::vector<domain_digest> digest();
-	/// @returns An address in each other failure domain that is due to get a digest now.
+	/// @returns One address in each other failure domain that is due to get a digest; empty when this node
+	/// does not send digests.
 	std::vector<std::string> digest_targets();
-	/// Names an address at which a node may be.
+	/// Adds a candidate address: one at which a node may be reachable.
 	void add_address(const std::string& _ip);
-	/// @returns Addresses that the next heartbeat goes to.
+	/// @returns Addresses to which the heartbeat of this round is sent; call it after next().
 	std::vector<std::string> targets();
-	/// @returns This node's next heartbeat.
+	/// Starts a round of heartbeats.
+	/// @returns This node's heartbeat for the round.
 	node_heartbeat next();
-	/// @returns This node's next heartbeat for a node that is new here; none is for greeting::none.
-	/// @param[in] _for Failure domain of that node; empty: of several nodes.
+	/// @returns A heartbeat of this node outside of the rounds, for a node that is new here or as an
+	/// announcement. Do not call it with greeting::none.
+	/// @param[in] _for Failure domain of the receiver; empty: several receivers.
 	node_heartbeat greet(greeting _greeting, const domain_name& _for = {});
-	/// @returns Whether this node keeps itself registered in the store.
+	/// @returns Whether this node is to keep itself registered in the store.
 	bool registers() const;
+	/// @param[in] _homes Home regions of the host that the callers request.
 	/// @returns Nodes that callers of a region should use.
 	lookup_decision look_up(const region_name& _region, const std::vector<region_name>& _homes) const;
-	/// @returns Whether this node is one of those of its region that read the store.
+	/// @returns Whether this node is one of the nodes of its region that read the store, and its rank.
 	reader_decision reader() const;
-	/// @returns When the store last answered any other node of this region; nothing when none tells of it.
-	std::optional<steady_time> store_answered_at() const;
-	/// @returns Addresses of the other nodes of this failure domain that answer.
+	/// @returns Time of the latest response of the store to another node of this region, by their heartbeats;
+	/// nothing when no node has reported a response.
+	std::optional<steady_time> peers_store_response_time() const;
+	/// @returns Addresses of the other live nodes of this failure domain.
 	std::vector<std::string> domain_addresses() const;
-	/// @returns Whether nodes of other failure domains are heard more rarely than those of the own one.
+	/// @returns Whether nodes of other failure domains get fewer heartbeats than nodes of this failure
+	/// domain.
 	bool is_large() const
 	{
 		return liveness().is_large();
 	}
-	/// @returns Addresses of the nodes to which changes go that this node read from the store.
-	std::vector<std::string> first_told_addresses() const;
-	/// @returns Addresses of the nodes to which changes of a node at an address are told on; mostly none.
-	std::vector<std::string> told_on_addresses(const std::string& _sender_ip) const;
-	/// @returns A live node that knows a newer revision of the store's keys than the given one, or null.
-	/// Goes through all nodes only if one of them may.
-	const node_heartbeat* newer(std::int64_t _store_revision) const;
+	/// @returns Addresses of the nodes to which this node sends changes that it has read from the store.
+	std::vector<std::string> change_receivers() const;
+	/// @returns Addresses to which this node relays changes received from _sender_ip; usually none.
+	std::vector<std::string> change_relay_receivers(const std::string& _sender_ip) const;
+	/// @returns A live node that has a newer revision of the store's keys than the given one, or null.
+	/// Iterates over all nodes only if one of them may have a newer revision.
+	const node_heartbeat* peer_with_newer_keys(std::int64_t _store_revision) const;
 	/// @returns A live node that has a newer version of the configuration than the given one, or null.
-	/// Goes through all nodes only if one of them may.
+	/// Iterates over all nodes only if one of them may have a newer version.
 	const node_heartbeat* newer_routes(std::uint64_t _config_version) const;
-	/// @param[out] _view Who has the store's keys, and how many nodes that lack them come before this one.
-	void note_copies(copy_view& _view) const;
-	/// @returns A live node that has the store's keys, another one each time; null when there is none.
-	/// @param[in] _step Where it is to be.
-	const node_heartbeat* copy_giver(copy_step _step, std::uint64_t _draw) const;
-	/// Notes which nodes have died or are back, and forgets those that have been silent for long.
+	/// @param[out] _view Receives whether a live node of this failure domain, of this region or of any region
+	/// has the store's keys, and how many nodes of this failure domain that lack them rank before this node.
+	void fill_copy_view(copy_view& _view) const;
+	/// @returns A pseudo-random live node that has the store's keys; null when there is none.
+	/// @param[in] _step Determines where the node may be: this failure domain, this region or anywhere.
+	/// @param[in] _draw Random seed; pass another value in each call.
+	const node_heartbeat* choose_page_source(copy_step _step, std::uint64_t _draw) const;
+	/// Logs nodes that have died or are live again, and removes nodes that have been silent for long.
 	void tick();
-	/// @returns Time between two heartbeats to the nodes of the own failure domain.
+	/// @returns Interval between two heartbeats to the nodes of this failure domain.
 	std::chrono::milliseconds interval() const
 	{
 		return liveness().interval();
@@ -142,7 +153,7 @@
 	nodes_in_sight in_sight_of_region() const override;
 	std::vector<std::string> region_addresses() const override;
 
-	/// @returns Whether another node counts as live.
+	/// @returns Whether another node is known and counts as live.
 	bool is_live(const node_name& _node) const;
 
 	node_heartbeat& self()
@@ -155,74 +166,83 @@
 	}
 
 private:
-	/// @returns Place at which those of some things begin that this heartbeat tells.
-	std::size_t window_begin(std::size_t _all, std::size_t _told) const;
-	/// @returns Addresses of some live nodes, others each time; in a large failure domain mostly of its own.
-	std::vector<std::string> some_addresses(const domain_name& _for) const;
-	/// @returns Names of the live nodes of a failure domain.
+	/// @param[in] _all Number of items; not 0.
+	/// @param[in] _listed Number of items in one heartbeat.
+	/// @returns Index of the first item that the present heartbeat lists; it advances with each heartbeat.
+	std::size_t first_listed(std::size_t _all, std::size_t _listed) const;
+	/// @param[in] _for Failure domain of the receiver.
+	/// @returns Addresses of some live nodes, different ones each time. In a large failure domain most of
+	/// them are of the receiver's failure domain.
+	std::vector<std::string> sample_addresses(const domain_name& _for) const;
+	/// @returns Names of the other live nodes of a failure domain.
 	std::vector<const node_name*> live_in(const domain_name& _domain) const;
 	std::vector<std::string> addresses_of(const std::vector<const node_name*>& _nodes) const;
 	node_liveness liveness() const
 	{
 		return node_liveness(nodes_of(m_self.domain), m_members.size());
 	}
-	/// @returns Other nodes of a failure domain, as far as they are known.
+	/// @returns Number of other nodes that are known in a failure domain.
 	std::size_t nodes_of(const domain_name& _domain) const;
 	static bool alive(const fleet_member& _member, steady_time _now)
 	{
 		return _now - _member.sign_at <= _member.domain->longest_silence;
 	}
-	/// @returns The other live nodes that meet a condition, in the order of their names.
+	/// @returns The other live nodes that satisfy a condition, in the order of their names.
 	std::vector<const node_heartbeat*> live_with(
 	    const std::function<bool(const node_heartbeat&)>& _condition) const;
-	/// Puts a node that came, or came to another failure domain, into the counts and indices.
-	void enter(fleet_member& _member);
-	/// Takes it out of them.
-	void leave(const fleet_member& _member);
-	/// Takes the address of a node that was heard, in place of the one that it had.
-	void set_address(const std::string& _before, const std::string& _ip);
-	/// Intervals and parts depend on the number of nodes.
-	void on_counts_changed();
-	/// Notes what a live node knows of the store's keys.
-	void note_knowledge(const node_heartbeat& _live) const;
-	void take_news(const node_heartbeat& _teller);
-	std::vector<neighbour_news> news_of_neighbours() const;
-	/// @returns Whether the next heartbeat goes to the node.
-	bool is_due(const fleet_member& _member, const node_liveness& _pace, steady_time _now) const;
-	/// @returns Whether the node is of this region and answers.
-	bool is_near(const fleet_member& _member, steady_time _now) const
+	/// Adds a node that joined, or moved to another failure domain, to the counts and indices.
+	void add_to_indices(fleet_member& _member);
+	/// Removes a node from the counts and indices.
+	void remove_from_indices(const fleet_member& _member);
+	/// Replaces the address of a node in the address indices.
+	/// @param[in] _ip The new address; empty: the node is removed.
+	void replace_address(const std::string& _old_ip, const std::string& _ip);
+	/// Updates what depends on the number of nodes: silence limits, the census and the cached totals.
+	void on_node_count_changed();
+	/// Raises the highest known revision and configuration version to those of a live node.
+	void raise_known_revisions(const node_heartbeat& _live) const;
+	/// Applies what a heartbeat reports about other nodes of its sender's failure domain.
+	void apply_neighbour_reports(const node_heartbeat& _sender);
+	/// @returns What this node's next heartbeat reports about other nodes of this failure domain.
+	std::vector<neighbour_news> neighbour_reports() const;
+	/// @returns Whether the heartbeat of this round is sent to the node.
+	bool is_heartbeat_due(const fleet_member& _member, const node_liveness& _pace, steady_time _now) const;
+	/// @returns Whether the node is in this region and counts as live.
+	bool is_live_in_region(const fleet_member& _member, steady_time _now) const
 	{
 		return _member.last.region == m_self.region && alive(_member, _now);
 	}
-	/// @returns Summary that is as old as one tick at most.
+	/// @returns Totals over the live nodes, recomputed when outdated or older than about one tick.
 	const live_summary& live() const;
-	/// @param[in] _region Empty: nodes of all regions lend.
+	/// @param[in] _region Region of the lenders; empty: nodes of all regions lend.
 	const lender_table& lenders_of(const region_name& _region) const;
-	/// @returns How many nodes of some that were counted as live may be trusted to be in sight.
-	double in_sight_of(std::size_t _live) const;
-	const warmer_table& warmers() const;
+	/// @param[in] _live Number of nodes that count as live.
+	/// @returns Number of nodes that share a budget: 1 when this node seems cut off, otherwise _live.
+	double budget_sharers(std::size_t _live) const;
+	const warmup_table& warmup_nodes() const;
 
 	const clock_base& m_clock;
 	node_heartbeat m_self;
 	backend_registry& m_backends;
 	entry_log& m_log;
 	std::map<node_name, fleet_member> m_members;
-	std::unordered_map<std::uint32_t, fleet_member*> m_by_hash; ///< By short_hash of the name.
+	std::unordered_map<std::uint32_t, fleet_member*> m_by_hash; ///< Members by short_hash of the name.
 	std::uint64_t m_digest_number = 0;
-	std::map<domain_name, steady_time> m_digest_due; ///< When each other failure domain gets the next digest.
-	std::map<domain_name, failure_domain_view> m_domains; ///< With other nodes in them.
-	std::unordered_map<std::string, int>
-	    m_member_ips; ///< Nodes at each address; more than one after a reuse.
-	/// Addresses at which nodes may be that were not heard, and heartbeats in a row that went there.
+	/// Time of the next digest to each other failure domain.
+	std::map<domain_name, steady_time> m_next_digest_at;
+	std::map<domain_name, failure_domain_view> m_domains; ///< Failure domains that have other nodes.
+	/// Number of nodes at each address; more than one after an address was reused.
+	std::unordered_map<std::string, int> m_member_ips;
+	/// Candidate addresses at which no node was heard, with the number of heartbeats sent there.
 	std::map<std::string, int> m_addresses;
 	node_census m_census;
 	mutable live_summary m_live;
-	mutable std::map<region_name, lender_table> m_lenders; ///< Of each region, and of all under no name.
-	mutable warmer_table m_warmers;
-	/// No live node knows more of the store's keys than this.
+	mutable std::map<region_name, lender_table> m_lenders; ///< By region; all regions under the empty name.
+	mutable warmup_table m_warmup_nodes;
+	/// Upper bound of the store revisions of the live nodes.
 	mutable std::int64_t m_highest_revision = 0;
-	/// No live node has a newer configuration than this.
+	/// Upper bound of the configuration versions of the live nodes.
 	mutable std::uint64_t m_highest_config = 0;
-	steady_time m_heard_at{}; ///< When the last heartbeat of any node came.
+	steady_time m_last_heartbeat_at{}; ///< Time of the latest heartbeat of any node, also by digests.
 };
 } // namespace larkrack
--- a/src/entry_node/packed_pages.cpp
+++ b/src/entry_node/packed_pages.cpp
@@ -15,20 +15,22 @@
 {
 namespace
 {
-/// Revisions for which a page may be behind the keys: whoever takes it asks for the changes behind it. More:
-/// more changes to ask for. Fewer: pages are made again and again while entries change. Not measured.
-constexpr std::int64_t k_old_revisions = 2000;
-/// Seconds after the last question for which pages are kept (some 0.4 MB for 10,000 backend servers).
-constexpr std::chrono::seconds k_kept{2};
-/// Answers that are kept: askers are behind by one batch or a few. More: memory.
-constexpr std::size_t k_kept_answers = 8;
+/// Number of revisions by which a cached page may lag behind the keys; a node that takes the page requests
+/// the changes since its revision afterwards. Higher: more changes to request. Lower: pages are compressed
+/// again and again while entries change.
+constexpr std::int64_t k_max_page_lag = 2000;
+/// Seconds after the last request for which pages stay cached (some 0.4 MB for 10,000 backend servers).
+constexpr std::chrono::seconds k_page_lifetime{2};
+/// Maximum number of cached responses: nodes that request changes lag by one batch or a few. Higher: more
+/// memory.
+constexpr std::size_t k_max_cached_responses = 8;
 } // namespace
 
-const std::string& packed_pages::get(
-    const std::string& _behind, const state_replica& _replica, steady_time _now)
+const std::string& packed_page_cache::get(
+    const std::string& _after, const state_replica& _replica, steady_time _now)
 {
-	m_asked_at = _now;
-	if (_replica.revision() - m_revision > k_old_revisions)
+	m_requested_at = _now;
+	if (_replica.revision() - m_revision > k_max_page_lag)
 	{
 		m_pages.clear();
 	}
@@ -36,32 +38,32 @@
 	{
 		m_revision = _replica.revision();
 	}
-	const auto known = m_pages.find(_behind);
+	const auto known = m_pages.find(_after);
 	if (m_pages.end() != known)
 	{
 		return known->second;
 	}
-	return m_pages[_behind] = deflate_bytes(encode(_replica.page_after(_behind, k_page_bytes)));
+	return m_pages[_after] = deflate_bytes(encode(_replica.page_after(_after, k_page_bytes)));
 }
 
-void packed_pages::tick(steady_time _now)
+void packed_page_cache::tick(steady_time _now)
 {
-	if (!m_pages.empty() && _now - m_asked_at > k_kept)
+	if (!m_pages.empty() && _now - m_requested_at > k_page_lifetime)
 	{
 		m_pages.clear();
 	}
 }
 
-const std::string& packed_changes::get(
-    const std::string& _question, std::int64_t _revision, const maker& _make)
+const std::string& packed_change_cache::get(
+    const std::string& _query, std::int64_t _revision, const response_factory& _make)
 {
-	if (m_revision != _revision || m_answers.size() >= k_kept_answers)
+	if (m_revision != _revision || m_responses.size() >= k_max_cached_responses)
 	{
-		m_answers.clear();
+		m_responses.clear();
 	}
 	m_revision = _revision;
-	const auto known = m_answers.find(_question);
-	return m_answers.end() != known ? known->second : m_answers[_question] = _make();
+	const auto known = m_responses.find(_query);
+	return m_responses.end() != known ? known->second : m_responses[_query] = _make();
 }
 
 std::string hex_of(std::string_view _text)
--- a/src/entry_node/packed_pages_p.h
+++ b/src/entry_node/packed_pages_p.h
@@ -2,11 +2,11 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Pages of all keys as they are sent to other nodes, kept while they are asked for: with 110 nodes of a
-/// failure domain that start together, each page is made once by a node that gives it and not once for each
-/// node that takes it (15 ms of a core for 256 KB).
+/// Caches of compressed responses to other nodes: pages of a full copy of the keys, and changes. When 110
+/// nodes of a failure domain start together, a node that serves pages compresses each page once and not once
+/// for each node that requests it (15 ms of a core for 256 KB).
 ///
-/// Relies on state_replica for the keys, and on entry_node to call tick().
+/// Owns the cached responses. Relies on state_replica for the keys, and on entry_node to call tick().
 #pragma once
 
 #include "base/clock_p.h"
@@ -22,43 +22,44 @@
 {
 class state_replica;
 
-/// Packed pages of one revision of the keys.
-class packed_pages
+/// Cache of compressed pages, all of about the same revision of the keys.
+class packed_page_cache
 {
 public:
-	/// @param[in] _behind Key behind which the page begins.
-	/// @returns The page, packed; valid until the next call.
-	const std::string& get(const std::string& _behind, const state_replica& _replica, steady_time _now);
-	/// Forgets the pages when nobody has asked for any for a while.
+	/// @param[in] _after Last key before the page; empty: the first page.
+	/// @returns The compressed page; valid until the next call.
+	const std::string& get(const std::string& _after, const state_replica& _replica, steady_time _now);
+	/// Drops the pages when no page was requested for a while.
 	void tick(steady_time _now);
 
 private:
-	std::map<std::string, std::string> m_pages; ///< By the key behind which they begin.
-	std::int64_t m_revision = 0;                ///< Of the oldest of them.
-	steady_time m_asked_at{};
+	std::map<std::string, std::string> m_pages; ///< By the last key before the page.
+	std::int64_t m_revision = 0;                ///< Revision of the oldest page in the cache.
+	steady_time m_requested_at{};
 };
 
-/// Packed answers to nodes that ask for changes. After an announcement a third of a region asks for the same
-/// ones: with 110 askers and 89 backend servers that leave, packing them for each took a node with a tenth of
-/// a core seconds (worked out: 5 ms of a core each).
-class packed_changes
+/// Cache of compressed responses to nodes that request changes. After an announcement a third of a region
+/// requests the same changes: compressing them for each of 110 nodes, when 89 backend servers leave, would
+/// take seconds on a node with a tenth of a core (worked out: 5 ms of a core each).
+class packed_change_cache
 {
 public:
-	using maker = std::function<std::string()>;
+	using response_factory = std::function<std::string()>;
 
-	/// @param[in] _question Revisions that the asking node has; all that the answer depends on but the keys.
-	/// @param[in] _revision Of the keys; another one makes all answers anew.
-	/// @param[in] _make Makes the answer if it is not kept.
-	/// @returns The answer; valid until the next call.
-	const std::string& get(const std::string& _question, std::int64_t _revision, const maker& _make);
+	/// @param[in] _query Revisions that the requesting node has: all that the response depends on besides
+	/// the keys themselves.
+	/// @param[in] _revision Revision of the keys; a new revision invalidates all cached responses.
+	/// @param[in] _make Produces the response on a cache miss.
+	/// @returns The response; valid until the next call.
+	const std::string& get(const std::string& _query, std::int64_t _revision, const response_factory& _make);
 
 private:
-	std::map<std::string, std::string> m_answers; ///< By question.
+	std::map<std::string, std::string> m_responses; ///< By query.
 	std::int64_t m_revision = 0;
 };
 
-/// @returns A key as two hexadecimal digits a byte, for a query.
+/// @returns The text as two hexadecimal digits per byte, for a query parameter.
 std::string hex_of(std::string_view _text);
-/// @returns The text, or nothing when it is no hexadecimal number.
+/// @returns The decoded text, or nothing when the input is not hexadecimal.
 std::optional<std::string> text_of_hex(std::string_view _hex);
 } // namespace larkrack
--- a/src/entry_node/placement_p.h
+++ b/src/entry_node/placement_p.h
@@ -2,14 +2,14 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Name and place of a node, as its settings tell them.
+/// Name and location of a node, as given in its settings. No state, no dependencies.
 #pragma once
 
 #include <string>
 
 namespace larkrack
 {
-/// Where a node stands.
+/// A node's name, failure domain and region.
 struct placement
 {
 	std::string node;
--- a/src/entry_node/state_replica.cpp
+++ b/src/entry_node/state_replica.cpp
@@ -12,13 +12,13 @@
 {
 namespace
 {
-/// Deletes that are remembered for other nodes, at least; as many as there are keys, where these are more, so
-/// that a node can miss the replacement of them all. More: memory. Fewer: a node that was away for long takes
-/// a copy of all keys instead of changes. Not measured.
+/// Minimum number of recent deletes kept for other nodes. If there are more keys than this, as many deletes
+/// as keys are kept, so that a node that missed the replacement of all keys can still be sent changes.
+/// Higher: more memory. Lower: a node that was away for long needs a full copy instead of changes.
 constexpr std::size_t k_known_deletes = 256;
-/// Seconds between two lines of the log about entries that name no backend server. Shorter: one writer that
-/// errs fills the log. Not a tuning value.
-constexpr std::chrono::seconds k_refused_told{60};
+/// Minimum interval in seconds between two log lines about undecodable registry entries. Shorter: one faulty
+/// writer fills the log. Not a tuning value.
+constexpr std::chrono::seconds k_rejection_log_interval{60};
 } // namespace
 
 state_replica::state_replica(const clock_base& _clock, const record_codec_base& _codec,
@@ -45,7 +45,7 @@
 	std::vector<std::string> absent;
 	for (const auto& [key, value] : m_values)
 	{
-		// The configuration is never taken away; another node may have left it out because it is known here.
+		// The configuration is never removed; the sending node may have omitted it because this node has it.
 		const bool removable = key != m_codec.routes_key() && value.mod_revision <= _revision;
 		if (0 == _present.count(key) && removable)
 		{
@@ -58,18 +58,18 @@
 	}
 	if (0 == m_revision)
 	{
-		m_deletes_after = _revision;
+		m_deletes_complete_after = _revision;
 	}
 	m_revision = std::max(m_revision, _revision);
 }
 
-state_page state_replica::page_after(const std::string& _after, std::size_t _most_bytes) const
+state_page state_replica::page_after(const std::string& _after, std::size_t _max_bytes) const
 {
 	state_page page;
 	page.store_revision = m_revision;
 	std::size_t bytes = 0;
 	auto it = m_values.upper_bound(_after);
-	for (; m_values.end() != it && bytes < _most_bytes; ++it)
+	for (; m_values.end() != it && bytes < _max_bytes; ++it)
 	{
 		bytes += it->first.size() + it->second.value.size();
 		page.values.push_back(it->second);
@@ -86,12 +86,12 @@
 	}
 }
 
-std::optional<std::string> state_replica::copied_up_to() const
+std::optional<std::string> state_replica::copy_position() const
 {
 	return m_copy ? std::optional(m_copy->last_key) : std::nullopt;
 }
 
-void state_replica::take_page(const state_page& _page)
+void state_replica::apply_page(const state_page& _page)
 {
 	if (!m_copy)
 	{
@@ -120,9 +120,9 @@
 	{
 		put(value);
 	}
-	for (const store_delete& gone : _batch.deletes)
+	for (const store_delete& deletion : _batch.deletes)
 	{
-		remove({gone.key, 0 == gone.mod_revision ? _batch.store_revision : gone.mod_revision});
+		remove({deletion.key, 0 == deletion.mod_revision ? _batch.store_revision : deletion.mod_revision});
 	}
 }
 
@@ -136,7 +136,7 @@
 {
 	if (_changes.batch.store_revision <= m_revision)
 	{
-		take_routes(_changes.batch);
+		apply_routes_only(_changes.batch);
 		return true;
 	}
 	if (_changes.whole)
@@ -153,7 +153,7 @@
 	return true;
 }
 
-void state_replica::take_routes(const watch_batch& _batch)
+void state_replica::apply_routes_only(const watch_batch& _batch)
 {
 	for (const store_value& value : _batch.puts)
 	{
@@ -180,7 +180,7 @@
 {
 	store_changes changes;
 	changes.after = _revision;
-	changes.whole = gives_whole(_revision);
+	changes.whole = needs_full_copy(_revision);
 	changes.batch.store_revision = m_revision;
 	for (const auto& [key, value] : m_values)
 	{
@@ -191,11 +191,11 @@
 			changes.batch.puts.push_back(value);
 		}
 	}
-	for (const store_delete& gone : m_deletes)
+	for (const store_delete& deletion : m_deletes)
 	{
-		if (!changes.whole && gone.mod_revision > _revision)
+		if (!changes.whole && deletion.mod_revision > _revision)
 		{
-			changes.batch.deletes.push_back(gone);
+			changes.batch.deletes.push_back(deletion);
 		}
 	}
 	return changes;
@@ -266,21 +266,22 @@
 	const backend_record* record = value_of(decoded);
 	if (nullptr == record)
 	{
-		refuse_backend(_value, std::get<error>(decoded));
+		reject_entry(_value, std::get<error>(decoded));
 		return;
 	}
-	m_put_aside.erase(record->id);
+	m_deferred_entries.erase(record->id);
 	m_vanished.erase(record->id);
 	const backend_ptr known = m_backends.find(record->id);
 	if (known && entry_life::former == life_of_entry(known->registered.born_ms, record->born_ms))
 	{
-		m_put_aside[record->id] = {*record, _value.mod_revision, m_clock.steady() + k_former_entry_life};
+		m_deferred_entries[record->id] = {
+		    *record, _value.mod_revision, m_clock.steady() + k_former_entry_life};
 		return;
 	}
-	use_backend(*record, _value.mod_revision);
+	apply_backend(*record, _value.mod_revision);
 }
 
-void state_replica::use_backend(const backend_record& _record, std::int64_t _revision)
+void state_replica::apply_backend(const backend_record& _record, std::int64_t _revision)
 {
 	const backend_ptr known = m_backends.find(_record.id);
 	const bool changed = !known || known->registered.draining != _record.draining ||
@@ -298,7 +299,7 @@
 	m_backends.put(_record, m_clock.steady());
 }
 
-void state_replica::refuse_backend(const store_value& _value, const error& _why)
+void state_replica::reject_entry(const store_value& _value, const error& _why)
 {
 	const backend_id id(m_codec.name_of(_value.key));
 	const steady_time now = m_clock.steady();
@@ -307,9 +308,9 @@
 		m_backends.stop_new_requests(id);
 		m_vanished.emplace(id, now);
 	}
-	m_put_aside.erase(id);
-	++m_refused_entries;
-	if (steady_time{} != m_refused_told_at && now - m_refused_told_at < k_refused_told)
+	m_deferred_entries.erase(id);
+	++m_rejected_entries;
+	if (steady_time{} != m_rejection_logged_at && now - m_rejection_logged_at < k_rejection_log_interval)
 	{
 		return;
 	}
@@ -317,22 +318,22 @@
 	                .text("key", _value.key)
 	                .text("why", _why.message)
 	                .number("revision", _value.mod_revision)
-	                .number("entries", static_cast<std::int64_t>(m_refused_entries)));
-	m_refused_told_at = now;
-	m_refused_entries = 0;
+	                .number("entries", static_cast<std::int64_t>(m_rejected_entries)));
+	m_rejection_logged_at = now;
+	m_rejected_entries = 0;
 }
 
-void state_replica::remember_delete(const store_delete& _gone)
+void state_replica::record_delete(const store_delete& _deletion)
 {
-	m_deletes.push_back(_gone);
-	std::int64_t& revision = m_deleted_at[_gone.key];
-	revision = std::max(revision, _gone.mod_revision);
+	m_deletes.push_back(_deletion);
+	std::int64_t& revision = m_deleted_at[_deletion.key];
+	revision = std::max(revision, _deletion.mod_revision);
 	if (m_deletes.size() <= std::max(k_known_deletes, m_values.size()))
 	{
 		return;
 	}
 	const store_delete& oldest = m_deletes.front();
-	m_deletes_after = std::max(m_deletes_after, oldest.mod_revision);
+	m_deletes_complete_after = std::max(m_deletes_complete_after, oldest.mod_revision);
 	const auto it = m_deleted_at.find(oldest.key);
 	if (m_deleted_at.end() != it && it->second == oldest.mod_revision)
 	{
@@ -341,40 +342,40 @@
 	m_deletes.pop_front();
 }
 
-void state_replica::remove(const store_delete& _gone)
+void state_replica::remove(const store_delete& _deletion)
 {
-	const auto known = m_deleted_at.find(_gone.key);
-	if (m_deleted_at.end() != known && known->second >= _gone.mod_revision)
+	const auto known = m_deleted_at.find(_deletion.key);
+	if (m_deleted_at.end() != known && known->second >= _deletion.mod_revision)
 	{
 		return;
 	}
-	const auto it = m_values.find(_gone.key);
-	if (m_values.end() != it && it->second.mod_revision > _gone.mod_revision)
+	const auto it = m_values.find(_deletion.key);
+	if (m_values.end() != it && it->second.mod_revision > _deletion.mod_revision)
 	{
 		return;
 	}
-	// Also a key that is not here is remembered: its last state may come after its delete.
-	remember_delete(_gone);
+	// The delete of an unknown key is recorded too: the last value of the key may arrive after its delete.
+	record_delete(_deletion);
 	if (m_values.end() == it)
 	{
 		return;
 	}
 	m_values.erase(it);
-	switch (m_codec.kind_of(_gone.key))
+	switch (m_codec.kind_of(_deletion.key))
 	{
 	case record_kind::backend:
-		m_put_aside.erase(backend_id(m_codec.name_of(_gone.key)));
-		m_vanished[backend_id(m_codec.name_of(_gone.key))] = m_clock.steady();
+		m_deferred_entries.erase(backend_id(m_codec.name_of(_deletion.key)));
+		m_vanished[backend_id(m_codec.name_of(_deletion.key))] = m_clock.steady();
 		break;
 	case record_kind::evacuation:
 		update_evacuations();
 		break;
 	case record_kind::block:
-		remove_block(_gone.key);
+		remove_block(_deletion.key);
 		break;
 	case record_kind::rollout_order:
 	case record_kind::rollout_status:
-		remove_rollout(_gone.key);
+		remove_rollout(_deletion.key);
 		break;
 	case record_kind::routes:
 	case record_kind::node:
@@ -468,15 +469,15 @@
 		m_backends.remove(it->first, now);
 		it = m_vanished.erase(it);
 	}
-	for (auto it = m_put_aside.begin(); it != m_put_aside.end();)
+	for (auto it = m_deferred_entries.begin(); it != m_deferred_entries.end();)
 	{
 		if (now < it->second.due)
 		{
 			++it;
 			continue;
 		}
-		use_backend(it->second.record, it->second.revision);
-		it = m_put_aside.erase(it);
+		apply_backend(it->second.record, it->second.revision);
+		it = m_deferred_entries.erase(it);
 	}
 }
 
--- a/src/entry_node/store_sync.cpp
+++ b/src/entry_node/store_sync.cpp
@@ -11,21 +11,21 @@
 namespace larkrack
 {
 store_sync::store_sync(asio::io_context& _context, const clock_base& _clock, store_base& _store,
-    state_replica& _replica, const record_codec_base& _codec, store_sharing_base& _sharing, entry_log& _log,
-    std::string _node, std::string _node_value)
+    state_replica& _replica, const record_codec_base& _codec, fleet_coordination_base& _coordination,
+    entry_log& _log, std::string _node, std::string _node_value)
     : m_context(_context), m_clock(_clock), m_store(_store), m_replica(_replica), m_codec(_codec),
-      m_sharing(_sharing), m_log(_log), m_node(std::move(_node)), m_node_value(std::move(_node_value)),
-      m_random(static_cast<unsigned>(std::hash<std::string>()(m_node)))
+      m_coordination(_coordination), m_log(_log), m_node(std::move(_node)),
+      m_node_value(std::move(_node_value)), m_random(static_cast<unsigned>(std::hash<std::string>()(m_node)))
 {
 }
 
 void store_sync::begin()
 {
-	m_began = m_clock.steady();
+	m_started_at = m_clock.steady();
 	start(m_context,
 	    [this](const yield_context& _yield)
 	    {
-		    follow(_yield);
+		    sync_keys(_yield);
 	    });
 	start(m_context,
 	    [this](const yield_context& _yield)
@@ -34,7 +34,7 @@
 	    });
 }
 
-void store_sync::note(bool _answered)
+void store_sync::record_result(bool _answered)
 {
 	if (_answered)
 	{
@@ -45,10 +45,10 @@
 		m_health.reached = true;
 		m_health.last_answer = m_clock.steady();
 		m_health.failures = 0;
-		m_replica.store_regained();
+		m_replica.on_store_reachable();
 		return;
 	}
-	m_replica.store_lost();
+	m_replica.on_store_unreachable();
 	m_health.last_failure = m_clock.steady();
 	++m_health.failures;
 	if (m_health.reached)
@@ -58,12 +58,12 @@
 	}
 }
 
-void store_sync::learn_health()
+void store_sync::adopt_peers_health()
 {
-	const std::optional<steady_time> answered = m_sharing.others_answered_at();
+	const std::optional<steady_time> answered = m_coordination.peers_store_response_at();
 	if (!m_health.reached && answered && *answered > m_health.last_failure)
 	{
-		m_replica.store_regained();
+		m_replica.on_store_reachable();
 	}
 }
 
@@ -77,12 +77,12 @@
 	sleep_for(m_context.get_executor(), _time, _yield);
 }
 
-void store_sync::obtain_keys(const yield_context& _yield)
+void store_sync::wait_for_keys(const yield_context& _yield)
 {
 	int tries = 0;
 	while (!m_stopping && 0 == m_replica.revision())
 	{
-		if (copy_step::from_store != m_sharing.next_copy_step())
+		if (copy_step::from_store != m_coordination.next_copy_step())
 		{
 			pause(k_copy_step, _yield);
 			continue;
@@ -92,15 +92,15 @@
 			back_off(tries++, _yield);
 			continue;
 		}
-		m_sharing.on_first_keys();
+		m_coordination.on_initial_read();
 	}
 }
 
-bool store_sync::read_all(bool _old, const yield_context& _yield)
+bool store_sync::read_all(bool _allow_stale, const yield_context& _yield)
 {
-	const range_reply reply = _old ? m_store.range_old("read_old", m_codec.prefix(), true, _yield)
-	                               : m_store.range("read", m_codec.prefix(), true, _yield);
-	note(call_status::done == reply.status);
+	const range_reply reply = _allow_stale ? m_store.range_old("read_old", m_codec.prefix(), true, _yield)
+	                                       : m_store.range("read", m_codec.prefix(), true, _yield);
+	record_result(call_status::done == reply.status);
 	if (call_status::done != reply.status)
 	{
 		return false;
@@ -128,7 +128,7 @@
 	const txn_reply reply = m_store.txn("rollout_status", {{write.key, _expected_revision}}, {write}, _yield);
 	if (call_status::done != reply.status)
 	{
-		return; // It may have been done: the watch tells, or it is tried again on the same condition.
+		return; // The write may have succeeded: the watch tells, or it is retried under the same condition.
 	}
 	if (reply.succeeded)
 	{
@@ -137,13 +137,13 @@
 	}
 	for (const store_value& current : reply.current)
 	{
-		m_replica.apply(current); // Another node has written: what it decided holds.
+		m_replica.apply(current); // Another node has written first: its decision takes precedence.
 	}
 }
 
 void store_sync::write_block(const request_block& _block, const yield_context& _yield)
 {
-	// Whether it was done is told by the watch; crash_guard writes again what does not come back.
+	// The watch tells whether the write succeeded; crash_guard retries writes that the watch does not return.
 	m_store.txn("block", {}, {m_codec.block_write(_block)}, _yield);
 }
 
@@ -153,34 +153,35 @@
 	    "watch", m_codec.prefix(), m_replica.revision() + 1,
 	    [this, &_yield](const watch_batch& _batch)
 	    {
-		    note(true);
+		    record_result(true);
 		    store_changes changes;
 		    changes.after = m_replica.revision();
 		    changes.batch = _batch;
 		    m_replica.apply(_batch);
 		    if (!_batch.puts.empty() || !_batch.deletes.empty())
 		    {
-			    m_sharing.on_read(changes);
+			    m_coordination.on_store_changes(changes);
 			    pause(k_batch_pause, _yield);
 		    }
-		    return !m_stopping && m_sharing.is_reader();
+		    return !m_stopping && m_coordination.is_reader();
 	    },
 	    _yield);
 }
 
-void store_sync::follow(const yield_context& _yield)
+void store_sync::sync_keys(const yield_context& _yield)
 {
-	obtain_keys(_yield);
-	// Rounded up, so that the wait is over when it ends.
-	pause(std::chrono::ceil<std::chrono::milliseconds>(m_began + k_rank_wait - m_clock.steady()), _yield);
+	wait_for_keys(_yield);
+	// Rounded up, so that k_rank_wait has passed when the pause ends.
+	pause(
+	    std::chrono::ceil<std::chrono::milliseconds>(m_started_at + k_rank_wait - m_clock.steady()), _yield);
 	bool synced = true;
 	int tries = 0;
 	while (!m_stopping)
 	{
-		if (!m_sharing.is_reader())
+		if (!m_coordination.is_reader())
 		{
 			synced = true;
-			learn_health();
+			adopt_peers_health();
 			pause(k_reader_check, _yield);
 			continue;
 		}
@@ -202,7 +203,7 @@
 		}
 		if (watch_end::broken == end)
 		{
-			note(false);
+			record_result(false);
 			back_off(tries++, _yield);
 		}
 	}
@@ -220,7 +221,7 @@
 	write.value = m_node_value;
 	write.lease = lease.id;
 	const txn_reply reply = m_store.txn("register", {}, {write}, _yield);
-	// Written twice with the same value, the key is the same; so an unsure write is simply tried again.
+	// The write is idempotent, so that a write with an unknown result is simply retried.
 	return call_status::done == reply.status && reply.succeeded ? lease.id : 0;
 }
 
@@ -231,9 +232,9 @@
 	pause(k_register_wait, _yield);
 	while (!m_stopping)
 	{
-		if (!m_sharing.is_registered_one())
+		if (!m_coordination.should_register())
 		{
-			lease = 0; // It lapses by itself.
+			lease = 0; // Left to expire.
 			pause(k_register_check, _yield);
 			continue;
 		}
@@ -251,7 +252,7 @@
 		const lease_reply kept = m_store.lease_keep_alive("register_renew", lease, _yield);
 		if (call_status::done == kept.status && !m_health.reached)
 		{
-			note(true);
+			record_result(true);
 		}
 		if (registration_lapsed(call_status::done == kept.status, kept.ttl))
 		{
--- a/src/entry_node/store_sync_p.h
+++ b/src/entry_node/store_sync_p.h
@@ -2,12 +2,12 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Keeps the replica of the platform's keys up to date, and this node registered there.
+/// Synchronizes the replica of the platform's keys with the store, and keeps this node registered there.
 ///
-/// Owns the calls to the store and what is known of its health. Which nodes read is decided in
-/// steering/store_readers, what a node does that starts and which nodes register in steering/store_start, the
-/// pauses in steering/store_pacing. Relies on entry_node for what other nodes
-/// tell.
+/// Owns the calls to the store and the record of its health. The rules are in src/steering: store_readers
+/// decides which nodes read the store, state_copy where a node that lacks the keys gets them, store_start how
+/// a node takes part in reading after its start and which nodes register, store_pacing the pauses between
+/// calls. Relies on entry_node for the state of the other nodes.
 #pragma once
 
 #include "entry_node/state_replica_p.h"
@@ -17,59 +17,59 @@
 
 namespace larkrack
 {
-/// How the platform has answered lately.
+/// Recent results of calls to the store.
 struct store_health
 {
-	bool reached = false;
+	bool reached = false; ///< Whether the last recorded call succeeded.
 	std::optional<steady_time> last_answer;
 	steady_time last_failure{};
-	int failures = 0; ///< In a row.
+	int failures = 0; ///< Consecutive failed calls.
 };
 
-/// What the reading of the store has to do with other nodes.
-class store_sharing_base
+/// Interface of store_sync to the rest of the fleet: queries about other nodes, and events for them.
+class fleet_coordination_base
 {
 public:
-	virtual ~store_sharing_base() = default;
-	/// @returns Whether this node is one of those that read the store. Others hear from them.
+	virtual ~fleet_coordination_base() = default;
+	/// @returns Whether this node is one of the nodes that read the store and inform the others.
 	virtual bool is_reader() const = 0;
-	/// @returns Where this node, which lacks the keys, is to take them from now.
+	/// @returns Where this node, which lacks the keys, is to get them from now.
 	virtual copy_step next_copy_step() = 0;
-	/// @returns Whether this node is one of those that register.
-	virtual bool is_registered_one() const = 0;
-	/// @returns When the store last answered another node of this region, as far as they tell.
-	virtual std::optional<steady_time> others_answered_at() const = 0;
-	/// Takes note that all keys were read from the store, by a node that lacked them.
-	virtual void on_first_keys() = 0;
-	/// Takes changes that were read from the store, to be told to others.
-	virtual void on_read(const store_changes& _changes) = 0;
+	/// @returns Whether this node is one of the nodes that register themselves.
+	virtual bool should_register() const = 0;
+	/// @returns Time of the latest response of the store to another node of this region, by their heartbeats.
+	virtual std::optional<steady_time> peers_store_response_at() const = 0;
+	/// Called when this node lacked the keys and has read all of them from the store.
+	virtual void on_initial_read() = 0;
+	/// Called with changes read from the store, which the other nodes are to be sent.
+	virtual void on_store_changes(const store_changes& _changes) = 0;
 };
 
-/// Sees to it that the keys are read, by this node or by another one, and watches them while this node is a
-/// reader; registers it under a lease while it is one of those that register.
+/// Obtains the keys from other nodes or from the store, watches the store while this node is a reader, and
+/// keeps a registration under a lease while this node is one of the nodes that register.
 class store_sync
 {
 public:
-	/// @param[in] _node_value What is registered for this node.
+	/// @param[in] _node_value Value of this node's registration: its IP address.
 	store_sync(asio::io_context& _context, const clock_base& _clock, store_base& _store,
-	    state_replica& _replica, const record_codec_base& _codec, store_sharing_base& _sharing,
+	    state_replica& _replica, const record_codec_base& _codec, fleet_coordination_base& _coordination,
 	    entry_log& _log, std::string _node, std::string _node_value);
 
-	/// Starts reading, watching and registering.
+	/// Starts reading, watching and registering in the background.
 	void begin();
-	/// Stops after the call that is under way.
+	/// Stops after the call in progress.
 	void end()
 	{
 		m_stopping = true;
 	}
-	/// Reads the configuration alone, for a node that is told that there is a newer one.
+	/// Reads only the configuration, when another node has announced a newer one.
 	void read_routes(const yield_context& _yield);
-	/// Writes a state of a roll-out if its key is at the expected revision; what then stands there is taken
-	/// in.
+	/// Writes the status of a roll-out if its key is at the expected revision, and applies the resulting
+	/// value of the key to the replica.
 	void write_rollout_status(
 	    const rollout_status& _status, std::int64_t _expected_revision, const yield_context& _yield);
-	/// Writes what is known of a request that ends backend servers, or takes it away; each node that counts
-	/// writes the same.
+	/// Writes the evidence about a request that crashes backend servers, or deletes it. All nodes that count
+	/// crashes write the same value.
 	void write_block(const request_block& _block, const yield_context& _yield);
 	const store_health& health() const
 	{
@@ -77,22 +77,23 @@
 	}
 
 private:
-	void follow(const yield_context& _yield);
-	/// Waits for a copy of the keys from other nodes, or reads them; returns with them, or when the node
+	void sync_keys(const yield_context& _yield);
+	/// Waits for a full copy from other nodes or reads the keys; returns once the keys are known or the node
 	/// stops.
-	void obtain_keys(const yield_context& _yield);
-	/// @param[in] _old Whether a copy of the store that may be old will do: what changed since is learned
-	/// later.
+	void wait_for_keys(const yield_context& _yield);
+	/// @param[in] _allow_stale Whether a possibly stale read is acceptable: later changes are fetched
+	/// afterwards.
 	/// @returns Whether all keys were read.
-	bool read_all(bool _old, const yield_context& _yield);
-	/// Watches from the replica's revision on, until this node is no reader any more or the watch ends.
+	bool read_all(bool _allow_stale, const yield_context& _yield);
+	/// Watches from the replica's revision on, until this node is no longer a reader or the watch ends.
 	watch_end watch(const yield_context& _yield);
 	void keep_registered(const yield_context& _yield);
-	/// @returns Lease of the registration, or 0.
+	/// @returns Lease id of the registration; 0 on failure.
 	std::int64_t register_node(const yield_context& _yield);
-	void note(bool _answered);
-	/// Takes from other nodes that the store is back, while this node does not call it.
-	void learn_health();
+	/// Records the result of a call to the store.
+	void record_result(bool _answered);
+	/// Adopts from other nodes that the store is reachable again, while this node makes no calls.
+	void adopt_peers_health();
 	void back_off(int _tries, const yield_context& _yield);
 	void pause(std::chrono::milliseconds _time, const yield_context& _yield);
 
@@ -101,12 +102,12 @@
 	store_base& m_store;
 	state_replica& m_replica;
 	const record_codec_base& m_codec;
-	store_sharing_base& m_sharing;
+	fleet_coordination_base& m_coordination;
 	entry_log& m_log;
 	std::string m_node;
 	std::string m_node_value;
 	store_health m_health;
-	steady_time m_began{};
+	steady_time m_started_at{};
 	bool m_stopping = false;
 	std::minstd_rand m_random;
 };
