--- a/src/entry_node/deflate.cpp
+++ b/src/entry_node/deflate.cpp
@@ -13,33 +13,33 @@
 {
 namespace zlib = boost::beast::zlib;
 
-/// Effort, 0 to 9. Higher: a few bytes less for several times the processor time.
-constexpr int k_level = 1;
-/// Window of 32 KB (log2 of bytes); both sides have the same.
+/// Compression level, 0 to 9. Higher: a few bytes less for several times the processor time.
+constexpr int k_compression_level = 1;
+/// Window size as log2 of bytes: 32 KB. Compressor and decompressor use the same.
 constexpr int k_window_bits = 15;
-/// Memory of the packing side, 1 to 9: 128 KB.
+/// Memory of the compressor, 1 to 9: level 8 takes 128 KB.
 constexpr int k_memory_level = 8;
-/// Bytes by which the room for the result grows.
-constexpr std::size_t k_piece = 65536;
+/// Bytes by which the output buffer of the decompressor grows.
+constexpr std::size_t k_output_step = 65536;
 } // namespace
 
 std::string deflate_bytes(const std::vector<std::uint8_t>& _bytes)
 {
 	zlib::deflate_stream stream;
-	stream.reset(k_level, k_window_bits, k_memory_level, zlib::Strategy::normal);
+	stream.reset(k_compression_level, k_window_bits, k_memory_level, zlib::Strategy::normal);
 	std::string packed(zlib::deflate_upper_bound(_bytes.size()), '\0');
 	zlib::z_params parameters;
 	parameters.next_in = _bytes.data();
 	parameters.avail_in = _bytes.size();
 	parameters.next_out = packed.data();
 	parameters.avail_out = packed.size();
-	boost::system::error_code ended; // Says that the stream has ended; the room is enough in any case.
+	boost::system::error_code ended; // Set to end_of_stream; deflate_upper_bound() makes the output fit.
 	stream.write(parameters, zlib::Flush::finish, ended);
 	packed.resize(parameters.total_out);
 	return packed;
 }
 
-result<std::vector<std::uint8_t>> inflate_bytes(std::string_view _packed, std::size_t _most)
+result<std::vector<std::uint8_t>> inflate_bytes(std::string_view _packed, std::size_t _max_bytes)
 {
 	zlib::inflate_stream stream;
 	stream.reset(k_window_bits);
@@ -48,21 +48,21 @@
 	parameters.next_in = _packed.data();
 	parameters.avail_in = _packed.size();
 	boost::system::error_code ended;
-	while (!ended && parameters.total_out < _most)
+	while (!ended && parameters.total_out < _max_bytes)
 	{
-		bytes.resize(std::min(_most, parameters.total_out + k_piece));
+		bytes.resize(std::min(_max_bytes, parameters.total_out + k_output_step));
 		parameters.next_out = bytes.data() + parameters.total_out;
 		parameters.avail_out = bytes.size() - parameters.total_out;
 		const std::size_t before = parameters.total_out;
 		stream.write(parameters, zlib::Flush::sync, ended);
 		if (!ended && before == parameters.total_out)
 		{
-			break; // Cut short.
+			break; // No progress: the input is truncated.
 		}
 	}
 	if (zlib::error::end_of_stream != ended)
 	{
-		return error{"bad_bytes", "no whole stream of packed bytes"};
+		return error{"bad_bytes", "deflate stream is invalid, truncated or larger than permitted"};
 	}
 	bytes.resize(parameters.total_out);
 	return bytes;
--- a/src/entry_node/deflate_p.h
+++ b/src/entry_node/deflate_p.h
@@ -2,8 +2,9 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Packs what nodes give each other in bulk: deflate by Boost.Beast. Entries of backend servers are alike but
-/// for ids, addresses and numbers, so packed ones have a sixth to an eighth of their bytes.
+/// Compression of bulk data that nodes send each other: deflate, by Boost.Beast. Registry entries of backend
+/// servers differ only in ids, addresses and numbers and compress to between a sixth and an eighth of their
+/// size. No state.
 #pragma once
 
 #include "larkrack/outcome.h"
@@ -15,9 +16,10 @@
 
 namespace larkrack
 {
-/// @returns The bytes packed.
+/// @returns The bytes as one complete deflate stream.
 std::string deflate_bytes(const std::vector<std::uint8_t>& _bytes);
-/// @param[in] _most Bytes that the result may have; more is taken for an attack on this node's memory.
-/// @returns The bytes as they were, or the error "bad_bytes".
-result<std::vector<std::uint8_t>> inflate_bytes(std::string_view _packed, std::size_t _most);
+/// @param[in] _max_bytes Maximum size of the result. A larger result is treated as an attempt to exhaust this
+/// node's memory and refused.
+/// @returns The decompressed bytes, or the error "bad_bytes".
+result<std::vector<std::uint8_t>> inflate_bytes(std::string_view _packed, std::size_t _max_bytes);
 } // namespace larkrack
--- a/src/entry_node/entry_log.cpp
+++ b/src/entry_node/entry_log.cpp
@@ -16,13 +16,15 @@
 {
 namespace
 {
-/// Bytes that a writable pipe takes without waiting: PIPE_BUF of Linux, see pipe(7).
-constexpr std::size_t k_write_piece = 4096;
-/// One of so many good outcomes is logged: the log's size against what can be looked up. Not measured.
-constexpr std::uint64_t k_sample = 16;
+/// Bytes that a writable pipe takes without blocking: PIPE_BUF of Linux, see pipe(7).
+constexpr std::size_t k_write_chunk = 4096;
+/// One in this many successful requests is logged. Lower: a larger log. Higher: fewer requests can be looked
+/// up.
+constexpr std::uint64_t k_sample_divisor = 16;
 
-/// Adds a text as a JSON string. By hand, since nlohmann's dump() writes other escapes ("\n" for a line feed,
-/// where the log has a code) and throws on bytes that are no UTF-8, which a caller's request id may hold.
+/// Appends a text as a JSON string. nlohmann's dump() is not used: it writes other escapes ("\n" for a line
+/// feed, where the log has a numeric escape) and throws on invalid UTF-8, which a caller's request id may
+/// contain.
 void append_quoted(std::string& _out, std::string_view _text)
 {
 	_out += '"';
@@ -78,8 +80,8 @@
 	return *this;
 }
 
-entry_log::entry_log(std::string _node, int _descriptor, std::size_t _most_bytes)
-    : m_node(std::move(_node)), m_descriptor(_descriptor), m_most_bytes(_most_bytes)
+entry_log::entry_log(std::string _node, int _descriptor, std::size_t _max_pending_bytes)
+    : m_node(std::move(_node)), m_descriptor(_descriptor), m_max_pending_bytes(_max_pending_bytes)
 {
 }
 
@@ -104,7 +106,7 @@
 	{
 		return;
 	}
-	if (m_pending.size() + _line.m_fields.size() > m_most_bytes)
+	if (m_pending.size() + _line.m_fields.size() > m_max_pending_bytes)
 	{
 		++m_dropped;
 		return;
@@ -114,11 +116,11 @@
 
 void entry_log::flush()
 {
-	if (m_dropped != m_dropped_told && m_pending.size() < m_most_bytes / 2)
+	if (m_dropped != m_dropped_reported && m_pending.size() < m_max_pending_bytes / 2)
 	{
 		log_line line(event::log_dropped);
-		line.number("lines", static_cast<std::int64_t>(m_dropped - m_dropped_told));
-		m_dropped_told = m_dropped;
+		line.number("lines", static_cast<std::int64_t>(m_dropped - m_dropped_reported));
+		m_dropped_reported = m_dropped;
 		append(line);
 	}
 	std::size_t done = 0;
@@ -129,11 +131,11 @@
 		{
 			break;
 		}
-		const std::size_t piece = std::min(k_write_piece, m_pending.size() - done);
+		const std::size_t piece = std::min(k_write_chunk, m_pending.size() - done);
 		const ssize_t written = ::write(m_descriptor, m_pending.data() + done, piece);
 		if (written <= 0)
 		{
-			break; // The bytes stay for a later flush. Lines for which no room is left are counted.
+			break; // The bytes stay for a later flush. write() counts the lines that do not fit meanwhile.
 		}
 		done += static_cast<std::size_t>(written);
 	}
@@ -142,6 +144,6 @@
 
 bool entry_log::sampled(std::string_view _request_id)
 {
-	return 0 == XXH64(_request_id.data(), _request_id.size(), 0) % k_sample;
+	return 0 == XXH64(_request_id.data(), _request_id.size(), 0) % k_sample_divisor;
 }
 } // namespace larkrack
--- a/src/entry_node/entry_log_p.h
+++ b/src/entry_node/entry_log_p.h
@@ -2,8 +2,8 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Structured log to standard output, one JSON object a line, bounded in memory and never waiting for its
-/// reader. Owns the lines that wait. Relies on its owner to call flush() at a steady interval.
+/// Structured log to standard output: one JSON object per line, with bounded memory and non-blocking writes.
+/// Owns the lines that are not written yet. Relies on its owner to call flush() at a steady interval.
 #pragma once
 
 #include "base/events_p.h"
@@ -14,7 +14,7 @@
 
 namespace larkrack
 {
-/// One line of the log, put together field by field.
+/// Builder of one log line, field by field.
 class log_line
 {
 public:
@@ -33,40 +33,40 @@
 	std::string m_fields;
 };
 
-/// Collects lines and hands them to a descriptor as fast as that takes them. What does not fit is dropped and
-/// counted.
+/// Buffers log lines and writes them to a descriptor as fast as its reader takes them. Lines that do not fit
+/// into the buffer are dropped and counted.
 class entry_log
 {
 public:
-	/// @param[in] _node Stands in each line.
-	/// @param[in] _descriptor Where lines go; negative: nowhere.
-	/// @param[in] _most_bytes Bytes that wait at most.
-	explicit entry_log(std::string _node, int _descriptor = 1, std::size_t _most_bytes = 64UL * 1024);
+	/// @param[in] _node Name of this node, a field of every line.
+	/// @param[in] _descriptor Descriptor that lines are written to; negative: lines are discarded.
+	/// @param[in] _max_pending_bytes Maximum size of the buffer, in bytes.
+	explicit entry_log(std::string _node, int _descriptor = 1, std::size_t _max_pending_bytes = 64UL * 1024);
 
-	/// Adds a line.
+	/// Adds a line to the buffer, or drops it when the buffer is full.
 	void write(const log_line& _line);
-	/// Hands over what the descriptor takes at once. Call it at a steady interval.
+	/// Writes as much of the buffer as the descriptor takes without blocking. Call it at a steady interval.
 	void flush();
-	/// @returns Lines that were dropped since the start.
+	/// @returns Number of lines dropped since the start.
 	std::uint64_t dropped() const
 	{
 		return m_dropped;
 	}
-	/// @returns Bytes that wait.
+	/// @returns Bytes in the buffer.
 	std::size_t pending() const
 	{
 		return m_pending.size();
 	}
-	/// @returns Whether the line of a good outcome of this request is kept. All nodes agree on it.
+	/// @returns Whether a successful request with this id is logged. All nodes sample the same request ids.
 	static bool sampled(std::string_view _request_id);
 
 private:
 	void append(const log_line& _line);
 	std::string m_node;
 	int m_descriptor;
-	std::size_t m_most_bytes;
+	std::size_t m_max_pending_bytes;
 	std::string m_pending;
 	std::uint64_t m_dropped = 0;
-	std::uint64_t m_dropped_told = 0;
+	std::uint64_t m_dropped_reported = 0;
 };
 } // namespace larkrack
--- a/src/entry_node/entry_node.cpp
+++ b/src/entry_node/entry_node.cpp
@@ -16,21 +16,21 @@
 {
 namespace
 {
-/// Descriptors for files, the store, peers and the like, as a number. More: fewer callers. Fewer: a node
-/// under load can not reach the store. Not measured.
+/// Number of file descriptors reserved for files, the store, other nodes and the like. Higher: fewer callers.
+/// Lower: a node under load cannot reach the store.
 constexpr int k_reserved_descriptors = 260;
-/// Part of the other descriptors that connections of callers may take; the rest is for backend servers.
-/// Higher: requests wait for connections to backend servers. Lower: callers are refused sooner. Not measured.
+/// Share of the other descriptors that connections of callers may use; the rest is for connections to backend
+/// servers. Higher: requests wait for connections to backend servers. Lower: callers are refused sooner.
 constexpr double k_caller_descriptors = 0.6;
-/// Connections to each of the other listeners: readiness, look-ups, peers, metrics. More: memory under abuse.
-/// Fewer: look-ups of a large region are refused. Not measured.
+/// Maximum number of connections to each of the other listeners: readiness, look-ups, peers, metrics. Higher:
+/// more memory under abuse. Lower: look-ups of a large region are refused.
 constexpr std::size_t k_other_connections = 256;
-/// Least descriptors that are divided, however few the settings allow.
+/// Minimum number of descriptors that are divided, however few the settings permit.
 constexpr int k_least_descriptors = 64;
 
-/// Milliseconds between two ticks of the decisions, at most, however rare heartbeats are. Longer: shares and
-/// vanished backend servers follow later. Shorter: more processor time in large fleets. Not measured alone.
-constexpr std::chrono::milliseconds k_longest_tick{250};
+/// Maximum interval between two ticks in milliseconds, however long the heartbeat interval is. Longer: shares
+/// and vanished backend servers are updated later. Shorter: more processor time in large fleets.
+constexpr std::chrono::milliseconds k_max_tick_interval{250};
 
 tcp::endpoint to_tcp(const endpoint& _endpoint)
 {
@@ -42,7 +42,7 @@
 	return _endpoint.host + ":" + std::to_string(_endpoint.port);
 }
 
-node_heartbeat self_of(const entry_settings& _settings)
+node_heartbeat heartbeat_of(const entry_settings& _settings)
 {
 	node_heartbeat self;
 	self.node = node_name(_settings.place.node);
@@ -67,7 +67,7 @@
     const entry_settings& _settings, std::string _settings_path, const platform_dialect_base& _dialect)
     : m_settings(_settings), m_settings_path(std::move(_settings_path)), m_dialect(_dialect), m_context(1),
       m_log(_settings.place.node), m_backends(_settings.region_of),
-      m_fleet(m_clock, self_of(_settings), m_backends, m_log),
+      m_fleet(m_clock, heartbeat_of(_settings), m_backends, m_log),
       m_quotas(m_context, m_clock, _settings.quotas, m_fleet, node_name(_settings.place.node), m_log,
           [this](const std::vector<std::uint8_t>& _bytes, const std::string& _ip)
           {
@@ -107,7 +107,7 @@
           {
 	          m_callers.set_limits(_routes->limits());
 	          m_forwarder.set_routes(std::move(_routes));
-	          m_quotas.set_routes(m_forwarder.routes()); // An older version is passed over there.
+	          m_quotas.set_routes(m_forwarder.routes()); // customer_quotas skips an older version.
 	          m_backends.set_warmup_times(m_forwarder.routes()->warmup_times());
           },
           [this](const std::string& _ip)
@@ -121,7 +121,7 @@
           m_context,
           [this](const std::shared_ptr<caller_session>& _session, caller_request&& _request)
           {
-	          m_last_busy = m_clock.steady();
+	          m_last_request_at = m_clock.steady();
 	          m_forwarder.handle(_session, std::move(_request));
           },
           caller_connections(_settings)),
@@ -153,8 +153,8 @@
 	          answer_metrics(_session);
           },
           k_other_connections),
-      m_heartbeats(m_context), m_signals(m_context, SIGTERM, SIGINT, SIGHUP), m_tick_timer(m_context),
-      m_stop_timer(m_context), m_learn_timer(m_context), m_learn_routes_timer(m_context),
+      m_datagram_socket(m_context), m_signals(m_context, SIGTERM, SIGINT, SIGHUP), m_tick_timer(m_context),
+      m_stop_timer(m_context), m_fetch_timer(m_context), m_fetch_routes_timer(m_context),
       m_peer_caller(m_context.get_executor())
 {
 	m_replica.set_rollouts(&m_rollouts);
@@ -196,14 +196,14 @@
 	}
 	beast::error_code failed;
 	const asio::ip::udp::endpoint where(asio::ip::make_address(m_settings.ip), m_settings.heartbeat_port);
-	m_heartbeats.open(asio::ip::udp::v4(), failed);
-	m_heartbeats.bind(where, failed);
+	m_datagram_socket.open(asio::ip::udp::v4(), failed);
+	m_datagram_socket.bind(where, failed);
 	if (failed)
 	{
 		return error{
 		    "listen", "can not bind UDP port " + std::to_string(where.port()) + ": " + failed.message()};
 	}
-	m_heartbeats.non_blocking(true, failed);
+	m_datagram_socket.non_blocking(true, failed);
 	return std::nullopt;
 }
 
@@ -213,10 +213,10 @@
 	                .text("region", m_settings.place.region)
 	                .text("domain", m_settings.place.domain)
 	                .text("callers", address_text(m_settings.callers)));
-	m_copy_began = m_clock.steady();
+	m_copy_started_at = m_clock.steady();
 	add_seeds(m_settings.seeds);
 	watch_signals();
-	receive_heartbeats();
+	receive_datagrams();
 	m_sync.begin();
 	tick();
 	m_context.run();
@@ -267,12 +267,12 @@
 		m_log.write(log_line(event::settings_refused).text("why", to_string(*mistakes)));
 		return;
 	}
-	const entry_settings& fresh = std::get<entry_settings>(parsed);
-	add_seeds(fresh.seeds);
-	m_settings.lookup_ttl = fresh.lookup_ttl;
-	m_settings.grace = fresh.grace;
+	const entry_settings& reloaded = std::get<entry_settings>(parsed);
+	add_seeds(reloaded.seeds);
+	m_settings.lookup_ttl = reloaded.lookup_ttl;
+	m_settings.grace = reloaded.grace;
 	m_log.write(
-	    log_line(event::settings_reloaded).number("seeds", static_cast<std::int64_t>(fresh.seeds.size())));
+	    log_line(event::settings_reloaded).number("seeds", static_cast<std::int64_t>(reloaded.seeds.size())));
 }
 
 void entry_node::begin_stop()
@@ -282,12 +282,12 @@
 		return;
 	}
 	m_stopping = true;
-	m_stopping_since = m_clock.steady();
-	m_last_busy = m_stopping_since;
+	m_stop_started_at = m_clock.steady();
+	m_last_request_at = m_stop_started_at;
 	m_log.write(log_line(event::node_stopping)
 	                .number("in_flight", static_cast<std::int64_t>(m_forwarder.in_flight())));
 	m_fleet.self().state = node_state::stopping;
-	announce_to_region();
+	send_heartbeat_to_region();
 	send_heartbeats();
 	m_callers.begin_stop();
 	stop_step();
@@ -295,10 +295,10 @@
 
 void entry_node::stop_step()
 {
-	const steady_time::duration passed = m_clock.steady() - m_stopping_since;
+	const steady_time::duration passed = m_clock.steady() - m_stop_started_at;
 	const std::size_t busy = m_callers.busy();
 	const steady_time::duration since_request =
-	    0 == busy ? m_clock.steady() - m_last_busy : steady_time::duration{};
+	    0 == busy ? m_clock.steady() - m_last_request_at : steady_time::duration{};
 	const stop_decision decision = plan_stop({passed, m_settings.grace, busy, since_request});
 	if (decision.close_idle)
 	{
@@ -358,9 +358,9 @@
 	m_crashes.tick();
 	m_rollouts.tick();
 	m_packed_pages.tick(m_clock.steady());
-	// A part of the backend servers is enough to serve by: keys that run where they are not known are late,
-	// but callers that are refused until all 10,002 are known wait for 13 s after a loss of power of all
-	// nodes.
+	// Some of the backend servers are enough to become ready. Affinity keys that run on a backend server that
+	// is still unknown are served late, but refusing callers until all 10,002 backend servers are known makes
+	// them wait for 13 s after a power loss of all nodes.
 	const bool has_keys = 0 != m_replica.revision() || m_backends.size() > 0;
 	if (node_state::starting == m_fleet.self().state && m_forwarder.routes() && has_keys)
 	{
@@ -372,9 +372,9 @@
 		send_heartbeats();
 	}
 	send_digests();
-	learn_from_peers();
+	fetch_from_peers();
 	m_log.flush();
-	m_tick_timer.expires_after(std::min(m_fleet.interval(), k_longest_tick));
+	m_tick_timer.expires_after(std::min(m_fleet.interval(), k_max_tick_interval));
 	m_tick_timer.async_wait(
 	    [this](beast::error_code _error)
 	    {
--- a/src/entry_node/entry_node_answers.cpp
+++ b/src/entry_node/entry_node_answers.cpp
@@ -22,8 +22,8 @@
     const std::shared_ptr<caller_session>& _session, const caller_request& _request)
 {
 	const std::string target(_request.target());
-	const std::optional<lookup_question> question = m_dialect.parse_lookup(target);
-	if (!question)
+	const std::optional<lookup_question> query = m_dialect.parse_lookup(target);
+	if (!query)
 	{
 		_session->respond(caller_response(http::status::not_found, 11));
 		return;
@@ -32,15 +32,15 @@
 	std::vector<region_name> homes;
 	if (m_forwarder.routes())
 	{
-		for (std::string& home : m_forwarder.routes()->home_regions(question->host))
+		for (std::string& home : m_forwarder.routes()->home_regions(query->host))
 		{
 			homes.emplace_back(std::move(home));
 		}
 	}
 	caller_response response(http::status::ok, 11);
 	response.set(http::field::content_type, "application/json");
-	const lookup_decision named = m_fleet.look_up(region_name(question->region), homes);
-	response.body() = m_dialect.render_lookup(named.addresses, m_settings.lookup_ttl);
+	const lookup_decision decision = m_fleet.look_up(region_name(query->region), homes);
+	response.body() = m_dialect.render_lookup(decision.addresses, m_settings.lookup_ttl);
 	_session->respond(std::move(response));
 }
 
@@ -58,19 +58,19 @@
 void entry_node::answer_page(const std::shared_ptr<caller_session>& _session, const std::string& _target)
 {
 	const steady_time now = m_clock.steady();
-	const std::optional<std::string> behind = text_of_hex(query_value(_target, "behind"));
-	if (!behind || 0 == m_replica.revision())
+	const std::optional<std::string> after = text_of_hex(query_value(_target, "behind"));
+	if (!after || 0 == m_replica.revision())
 	{
 		_session->respond(caller_response(http::status::not_found, 11));
 		return;
 	}
-	if (!m_given_pages.may_give(now))
+	if (!m_page_limit.may_give(now))
 	{
 		_session->respond(caller_response(http::status::service_unavailable, 11));
 		return;
 	}
-	const std::string& packed = m_packed_pages.get(*behind, m_replica, now);
-	m_given_pages.on_given(packed.size(), now);
+	const std::string& packed = m_packed_pages.get(*after, m_replica, now);
+	m_page_limit.on_given(packed.size(), now);
 	caller_response response(http::status::ok, 11);
 	response.set(http::field::content_type, "application/cbor");
 	response.set(http::field::content_encoding, "deflate");
@@ -86,24 +86,25 @@
 		return text.empty() ? _absent : std::strtoll(text.c_str(), nullptr, 10);
 	};
 	std::int64_t routes_revision = number("routes", 0);
-	const std::int64_t most_routes = number("most_routes", std::numeric_limits<std::int64_t>::max());
-	if (static_cast<std::int64_t>(m_replica.routes_bytes()) > most_routes)
+	const std::int64_t max_routes_bytes = number("most_routes", std::numeric_limits<std::int64_t>::max());
+	if (static_cast<std::int64_t>(m_replica.routes_bytes()) > max_routes_bytes)
 	{
-		routes_revision = m_replica.routes_revision(); // As if it were known there.
+		routes_revision = m_replica.routes_revision(); // Omits the configuration.
 	}
 	const std::int64_t after = number("after", 0);
 	caller_response response(http::status::ok, 11);
 	response.set(http::field::content_type, "application/cbor");
 	if (0 != number("pages", 0))
 	{
-		if (m_replica.gives_whole(after))
+		if (m_replica.needs_full_copy(after))
 		{
-			_session->respond(caller_response(http::status::gone, 11)); // All keys are given in pages.
+			_session->respond(
+			    caller_response(http::status::gone, 11)); // The requester then fetches all keys as pages.
 			return;
 		}
-		const std::string question = std::to_string(after) + "," + std::to_string(routes_revision);
+		const std::string query = std::to_string(after) + "," + std::to_string(routes_revision);
 		response.set(http::field::content_encoding, "deflate");
-		response.body() = m_packed_changes.get(question, m_replica.revision(),
+		response.body() = m_packed_changes.get(query, m_replica.revision(),
 		    [this, after, routes_revision]
 		    {
 			    return deflate_bytes(encode(m_replica.changes_after(after, routes_revision)));
@@ -111,14 +112,14 @@
 		_session->respond(std::move(response));
 		return;
 	}
-	answer_whole(_session, m_replica.changes_after(after, routes_revision), std::move(response));
+	answer_uncompressed(_session, m_replica.changes_after(after, routes_revision), std::move(response));
 }
 
-void entry_node::answer_whole(const std::shared_ptr<caller_session>& _session, const store_changes& _changes,
-    caller_response&& _response)
+void entry_node::answer_uncompressed(const std::shared_ptr<caller_session>& _session,
+    const store_changes& _changes, caller_response&& _response)
 {
 	const steady_time now = m_clock.steady();
-	if (_changes.whole && !m_given_pages.may_give(now))
+	if (_changes.whole && !m_page_limit.may_give(now))
 	{
 		_session->respond(caller_response(http::status::service_unavailable, 11));
 		return;
@@ -126,7 +127,7 @@
 	const std::vector<std::uint8_t> bytes = encode(_changes);
 	if (_changes.whole)
 	{
-		m_given_pages.on_given(bytes.size(), now);
+		m_page_limit.on_given(bytes.size(), now);
 	}
 	_response.body().assign(bytes.begin(), bytes.end());
 	_session->respond(std::move(_response));
--- a/src/entry_node/entry_node_p.h
+++ b/src/entry_node/entry_node_p.h
@@ -2,7 +2,13 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// One entry VM's process: puts the parts together, starts and stops them.
+/// The process of one entry VM: creates, connects, starts and stops all components.
+///
+/// Owns the listeners, the UDP socket for messages between nodes, the timers, the store client and one
+/// instance of each component. entry_node.cpp holds start, stop and ticks; entry_node_answers.cpp the HTTP
+/// responses to look-ups, other nodes and scrapes; entry_node_peers.cpp the exchange with other nodes;
+/// entry_node_copies.cpp the fetching of a full copy of the keys. Relies on platform_dialect_base for
+/// everything that depends on the platform.
 #pragma once
 
 #include "entry_node/entry_settings_p.h"
@@ -15,38 +21,38 @@
 
 namespace larkrack
 {
-/// Milliseconds for which another node may take to tell changes, or to give one page. Longer: a dead one
-/// holds up the others' turn. Shorter: a page from another region over a full link is not had. Not measured.
+/// Timeout in milliseconds of a request for changes or for one page to another node. Longer: a dead node
+/// delays the request to the next one. Shorter: a page from another region over a full link times out.
 constexpr std::chrono::milliseconds k_learn_timeout{1000};
 
-/// Question of a caller: where to send requests for a host.
+/// Look-up of a caller: which entry nodes take requests for a host?
 struct lookup_question
 {
 	std::string host;
-	std::string region; ///< Of the caller.
-	std::string domain; ///< Of the caller.
+	std::string region; ///< Region of the caller.
+	std::string domain; ///< Failure domain of the caller.
 };
 
-/// What a platform's callers, backend servers and store speak.
+/// Protocol details of a platform: header names, store keys, look-up format and store client.
 class platform_dialect_base
 {
 public:
 	virtual ~platform_dialect_base() = default;
 	virtual header_names headers() const = 0;
 	virtual const record_codec_base& codec() const = 0;
-	/// @returns The question in a look-up's target, or nothing when it is no look-up.
+	/// @returns The look-up in a request target, or nothing when the target is not a look-up.
 	virtual std::optional<lookup_question> parse_lookup(const std::string& _target) const = 0;
-	/// @returns Body of the answer to a look-up.
+	/// @returns Response body of a look-up.
 	virtual std::string render_lookup(
 	    const std::vector<std::string>& _addresses, std::chrono::milliseconds _ttl) const = 0;
-	/// @returns Client for the store.
+	/// @returns A client of the store at an address.
 	virtual std::unique_ptr<store_base> make_store(
 	    asio::io_context& _context, const endpoint& _address) const = 0;
 };
 
-/// All parts of a node, on one thread: an entry VM has a fraction of one core, and a second thread would only
+/// All components of a node on one thread. An entry VM has a fraction of one core: a second thread would only
 /// add memory and wake-ups (docs/DESIGN.md).
-class entry_node : private store_sharing_base
+class entry_node : private fleet_coordination_base
 {
 public:
 	entry_node(
@@ -55,72 +61,79 @@
 	entry_node(const entry_node&) = delete;
 	entry_node& operator=(const entry_node&) = delete;
 
-	/// Listens on all addresses.
-	/// @returns An error when one can not be had.
+	/// Opens all listeners and the UDP socket.
+	/// @returns An error when an address cannot be bound.
 	std::optional<error> open();
-	/// Serves until the process is asked to stop and the last request has ended.
+	/// Serves until a stop signal has arrived and the last request has ended, or the grace time is over.
 	void run();
 
 private:
 	void watch_signals();
 	void reload_settings();
 	void begin_stop();
+	/// Takes the actions of plan_stop() that are due, and repeats at each k_stop_step until the process ends.
 	void stop_step();
+	/// Runs periodic work: ticks of the components, heartbeats, digests, fetches from other nodes, log
+	/// output.
 	void tick();
-	void receive_heartbeats();
+	void receive_datagrams();
 	void send_heartbeats();
-	/// Sends a heartbeat to some nodes, whose turn it is or not.
-	void announce_to(const std::vector<std::string>& _addresses);
-	/// Sends one to all nodes of the region.
-	void announce_to_region();
+	/// Sends a heartbeat to the given nodes now, outside of the schedule.
+	void send_heartbeat_to(const std::vector<std::string>& _addresses);
+	/// Sends a heartbeat to all live nodes of the region now.
+	void send_heartbeat_to_region();
 	void add_seeds(const std::vector<std::string>& _seeds);
 	bool is_reader() const override;
 	copy_step next_copy_step() override;
-	bool is_registered_one() const override;
-	std::optional<steady_time> others_answered_at() const override;
-	void on_first_keys() override;
-	void on_read(const store_changes& _changes) override;
+	bool should_register() const override;
+	std::optional<steady_time> peers_store_response_at() const override;
+	void on_initial_read() override;
+	void on_store_changes(const store_changes& _changes) override;
 	void send_changes(const std::vector<store_changes>& _parts, const std::vector<std::string>& _addresses);
-	/// Takes changes that another node told, and tells them on if that is this node's part.
-	void take_changes(const store_changes& _changes);
-	/// Puts this node's state as it is now into its heartbeats.
+	/// Applies changes from another node, and relays new ones if this node relays for its failure domain.
+	void on_peer_changes(const store_changes& _changes);
+	/// Updates this node's heartbeat with its present state and load.
 	void refresh_heartbeat();
 	void send_datagram(const std::vector<std::uint8_t>& _bytes, const std::string& _ip);
-	void take_datagram(std::size_t _size);
-	/// Takes a digest of another failure domain, and passes it on if that is this node's part.
-	void take_digest(std::size_t _size);
-	/// Sends a digest of this node's failure domain to those that are due to get one.
+	/// Dispatches the datagram in m_datagram_buffer by its type.
+	void on_datagram(std::size_t _size);
+	/// Applies a digest of another failure domain, and relays it if this node is a relay for it.
+	void on_digest_datagram(std::size_t _size);
+	/// Sends a digest of this node's failure domain to the failure domains that are due to get one.
 	void send_digests();
-	/// Fetches what other nodes know and does not come by itself. The configuration, which may be large, and
-	/// all other changes are fetched side by side, so that a backend server that leaves is known while a
-	/// configuration is on its way: with 1,256 routes, the last of 80 nodes knows it 0.9 s behind the first
-	/// one instead of 1.7 s.
-	void learn_from_peers();
-	void learn_changes();
-	/// Takes the next pages of a copy of all keys from other nodes, as far as it may ask them now.
-	void learn_copy();
-	void take_pages(const yield_context& _yield);
-	/// @returns Whether a page came.
+	/// Fetches state that other nodes have and this node missed. The configuration, which may be large, and
+	/// all other changes are fetched concurrently, so that a leaving backend server becomes known while a
+	/// configuration is being transferred: with 1,256 routes, the last of 80 nodes knows it 0.9 s after the
+	/// first one instead of 1.7 s.
+	void fetch_from_peers();
+	void fetch_missed_changes();
+	/// Starts or resumes a full copy of the keys from other nodes, as far as next_copy_step() permits.
+	void fetch_full_copy();
+	void fetch_pages(const yield_context& _yield);
+	/// Requests the next page from a node and applies it.
+	/// @returns Whether a valid page arrived.
 	bool fetch_page(const std::string& _ip, const yield_context& _yield);
-	void learn_routes();
+	void fetch_missed_routes();
 	void fetch_routes(const yield_context& _yield);
-	void fetch_routes_from_peer(std::size_t _most_bytes, const yield_context& _yield);
-	/// @param[in] _routes_revision Revision of the configuration that is known here.
-	/// @param[in] _most_routes Bytes up to which the configuration is wanted from that node.
-	void fetch_state(const std::string& _ip, std::int64_t _routes_revision, std::size_t _most_routes,
+	void fetch_routes_from_peer(std::size_t _max_bytes, const yield_context& _yield);
+	/// Requests changes from a node and applies them.
+	/// @param[in] _routes_revision Revision of the configuration that this node has.
+	/// @param[in] _max_routes_bytes Maximum size in bytes of a configuration that the response may include.
+	void fetch_changes(const std::string& _ip, std::int64_t _routes_revision, std::size_t _max_routes_bytes,
 	    const yield_context& _yield);
-	/// @returns Version of the configuration in force; 0 when there is none.
+	/// @returns Version of the configuration in use; 0 when there is none.
 	std::uint64_t routes_version() const;
 
-	/// Puts what is known of a request that ends backend servers into the store.
+	/// Writes the evidence about a request that crashes backend servers to the store.
 	void write_block(const request_block& _block);
 	void write_rollout_status(const rollout_status& _status, std::int64_t _expected_revision);
 	void answer_readiness(const std::shared_ptr<caller_session>& _session);
 	void answer_lookup(const std::shared_ptr<caller_session>& _session, const caller_request& _request);
 	void answer_peer(const std::shared_ptr<caller_session>& _session, const caller_request& _request);
 	void answer_changes(const std::shared_ptr<caller_session>& _session, const std::string& _target);
-	/// Answers a node of an earlier version: not packed, and all keys in one piece if it lacks too much.
-	void answer_whole(const std::shared_ptr<caller_session>& _session, const store_changes& _changes,
+	/// Responds to a node of an earlier version: uncompressed, and with all keys at once when the changes are
+	/// not known any more.
+	void answer_uncompressed(const std::shared_ptr<caller_session>& _session, const store_changes& _changes,
 	    caller_response&& _response);
 	void answer_page(const std::shared_ptr<caller_session>& _session, const std::string& _target);
 	void answer_metrics(const std::shared_ptr<caller_session>& _session);
@@ -148,27 +161,29 @@
 	http_listener m_lookups;
 	http_listener m_peers;
 	http_listener m_metrics_listener;
-	asio::ip::udp::socket m_heartbeats;
-	asio::ip::udp::endpoint m_heartbeat_sender;
-	std::array<std::uint8_t, 4096> m_heartbeat_buffer{};
+	asio::ip::udp::socket m_datagram_socket;
+	asio::ip::udp::endpoint m_datagram_sender;
+	std::array<std::uint8_t, 4096> m_datagram_buffer{};
 	asio::signal_set m_signals;
 	asio::steady_timer m_tick_timer;
 	asio::steady_timer m_stop_timer;
-	asio::steady_timer m_learn_timer;
-	asio::steady_timer m_learn_routes_timer;
+	asio::steady_timer m_fetch_timer;
+	asio::steady_timer m_fetch_routes_timer;
 	http_caller m_peer_caller;
-	page_limit m_given_pages;
-	packed_pages m_packed_pages;
-	packed_changes m_packed_changes;
-	steady_time m_copy_began{}; ///< When this node began to look for the keys.
-	steady_time m_last_page{};  ///< When the last page of a copy came.
-	std::uint64_t m_pages_asked = 0;
-	steady_time m_stopping_since{};
-	steady_time m_last_busy{};
+	page_limit m_page_limit;
+	packed_page_cache m_packed_pages;
+	packed_change_cache m_packed_changes;
+	steady_time m_copy_started_at{}; ///< Start of the search for a full copy of the keys.
+	/// Arrival of the last page, of a response from a node that is busy serving pages, or the last time at
+	/// which no live node had the keys.
+	steady_time m_last_page_at{};
+	std::uint64_t m_page_requests = 0;
+	steady_time m_stop_started_at{};
+	steady_time m_last_request_at{};
 	steady_time m_next_heartbeat{};
 	bool m_stopping = false;
-	bool m_learning = false;        ///< Changes or pages are awaited or being fetched.
-	bool m_learning_routes = false; ///< The same of the configuration.
-	int m_routes_tries = 0;         ///< To have a newer configuration, in vain, in a row.
+	bool m_fetching_changes = false; ///< A fetch of changes or pages is scheduled or running.
+	bool m_fetching_routes = false;  ///< A fetch of the configuration is scheduled or running.
+	int m_routes_failures = 0;       ///< Consecutive fetches that brought no newer configuration.
 };
 } // namespace larkrack
--- a/src/entry_node/entry_node_peers.cpp
+++ b/src/entry_node/entry_node_peers.cpp
@@ -17,30 +17,30 @@
 {
 namespace
 {
-/// Bytes of a configuration up to which it is had from another node. More: a reader gives it to a third of
-/// its region over a link of 20 Mbit/s, 0.2 s for 33 nodes and 16 KiB. Fewer: a call to the store by each
-/// node. A configuration of 20 routes has 5 KB.
+/// Maximum size in bytes of a configuration that is fetched from another node first. Higher: a reader serves
+/// larger configurations to a third of its region over a link of 20 Mbit/s (16 KiB to 33 nodes take 0.2 s).
+/// Lower: each node calls the store. A configuration of 20 routes has 5 KB.
 constexpr std::size_t k_routes_of_peers = 16384;
-/// Bytes that changes may have unpacked; a configuration of 100,000 routes among them.
-constexpr std::size_t k_most_changes_bytes = 128U << 20U;
-/// Revision of a configuration that is newer than any: the answer then leaves the configuration out.
-constexpr std::int64_t k_leave_routes_out = std::numeric_limits<std::int64_t>::max();
+/// Maximum size of decompressed changes in bytes; a configuration of 100,000 routes fits.
+constexpr std::size_t k_max_changes_bytes = 128U << 20U;
+/// Revision higher than that of any configuration: the response then omits the configuration.
+constexpr std::int64_t k_omit_routes = std::numeric_limits<std::int64_t>::max();
 
-/// @returns The body of an answer, unpacked if it is packed; nodes of an earlier version do not pack.
+/// @returns The body of a response, decompressed if necessary; nodes of an earlier version do not compress.
 result<std::vector<std::uint8_t>> bytes_of(const http_response& _response)
 {
 	const std::string& body = _response.body();
 	if ("deflate" == _response[http::field::content_encoding])
 	{
-		return inflate_bytes(body, k_most_changes_bytes);
+		return inflate_bytes(body, k_max_changes_bytes);
 	}
 	return std::vector<std::uint8_t>(body.begin(), body.end());
 }
 } // namespace
 
-void entry_node::receive_heartbeats()
+void entry_node::receive_datagrams()
 {
-	m_heartbeats.async_receive_from(asio::buffer(m_heartbeat_buffer), m_heartbeat_sender,
+	m_datagram_socket.async_receive_from(asio::buffer(m_datagram_buffer), m_datagram_sender,
 	    [this](beast::error_code _error, std::size_t _size)
 	    {
 		    if (asio::error::operation_aborted == _error)
@@ -49,57 +49,57 @@
 		    }
 		    if (!_error)
 		    {
-			    take_datagram(_size);
+			    on_datagram(_size);
 		    }
-		    receive_heartbeats();
+		    receive_datagrams();
 	    });
 }
 
-void entry_node::take_datagram(std::size_t _size)
+void entry_node::on_datagram(std::size_t _size)
 {
-	if (is_quota_message(m_heartbeat_buffer.data(), _size))
+	if (is_quota_message(m_datagram_buffer.data(), _size))
 	{
-		result<quota_message> decoded = decode_quota_message(m_heartbeat_buffer.data(), _size);
+		result<quota_message> decoded = decode_quota_message(m_datagram_buffer.data(), _size);
 		if (const quota_message* one = value_of(decoded))
 		{
-			m_quotas.on_message(*one, m_heartbeat_sender.address().to_string());
+			m_quotas.on_message(*one, m_datagram_sender.address().to_string());
 		}
 		return;
 	}
-	if (is_limit_message(m_heartbeat_buffer.data(), _size))
+	if (is_limit_message(m_datagram_buffer.data(), _size))
 	{
 		result<limit_message> decoded =
-		    decode_limit_message(m_heartbeat_buffer.data(), _size, m_clock.steady());
+		    decode_limit_message(m_datagram_buffer.data(), _size, m_clock.steady());
 		if (const limit_message* one = value_of(decoded))
 		{
-			m_limits.on_message(*one, m_heartbeat_sender.address().to_string());
+			m_limits.on_message(*one, m_datagram_sender.address().to_string());
 		}
 		return;
 	}
-	if (is_crash_message(m_heartbeat_buffer.data(), _size))
+	if (is_crash_message(m_datagram_buffer.data(), _size))
 	{
-		result<crash_message> decoded = decode_crash_message(m_heartbeat_buffer.data(), _size);
+		result<crash_message> decoded = decode_crash_message(m_datagram_buffer.data(), _size);
 		if (const crash_message* one = value_of(decoded))
 		{
-			m_crashes.on_message(*one, m_heartbeat_sender.address().to_string());
+			m_crashes.on_message(*one, m_datagram_sender.address().to_string());
 		}
 		return;
 	}
-	if (is_domain_digest(m_heartbeat_buffer.data(), _size))
+	if (is_domain_digest(m_datagram_buffer.data(), _size))
 	{
-		take_digest(_size);
+		on_digest_datagram(_size);
 		return;
 	}
-	if (is_rollout_report(m_heartbeat_buffer.data(), _size))
+	if (is_rollout_report(m_datagram_buffer.data(), _size))
 	{
-		result<rollout_report> decoded = decode_rollout_report(m_heartbeat_buffer.data(), _size);
+		result<rollout_report> decoded = decode_rollout_report(m_datagram_buffer.data(), _size);
 		if (const rollout_report* one = value_of(decoded))
 		{
 			m_rollouts.on_report(*one);
 		}
 		return;
 	}
-	result<node_heartbeat> decoded = decode_heartbeat(m_heartbeat_buffer.data(), _size);
+	result<node_heartbeat> decoded = decode_heartbeat(m_datagram_buffer.data(), _size);
 	if (const node_heartbeat* one = value_of(decoded))
 	{
 		const greeting due = m_fleet.hear(*one);
@@ -109,19 +109,19 @@
 			send_datagram(encode(m_fleet.greet(due, one->domain)), one->ip);
 		}
 		m_replica.tick();
-		learn_from_peers();
+		fetch_from_peers();
 		return;
 	}
-	result<store_changes> changes = decode_store_changes(m_heartbeat_buffer.data(), _size);
+	result<store_changes> changes = decode_store_changes(m_datagram_buffer.data(), _size);
 	if (const store_changes* some = value_of(changes))
 	{
-		take_changes(*some);
+		on_peer_changes(*some);
 	}
 }
 
-void entry_node::take_digest(std::size_t _size)
+void entry_node::on_digest_datagram(std::size_t _size)
 {
-	const std::uint8_t* data = m_heartbeat_buffer.data();
+	const std::uint8_t* data = m_datagram_buffer.data();
 	result<domain_digest> decoded = decode_domain_digest(data, _size);
 	const domain_digest* digest = value_of(decoded);
 	if (nullptr == digest)
@@ -129,12 +129,12 @@
 		return;
 	}
 	const std::vector<std::uint8_t> bytes(data, data + _size);
-	for (const std::string& ip : m_fleet.relay_addresses(*digest, m_heartbeat_sender.address().to_string()))
+	for (const std::string& ip : m_fleet.relay_addresses(*digest, m_datagram_sender.address().to_string()))
 	{
 		send_datagram(bytes, ip);
 	}
 	m_fleet.hear_digest(*digest);
-	learn_from_peers();
+	fetch_from_peers();
 }
 
 void entry_node::send_digests()
@@ -161,13 +161,13 @@
 	const auto address = asio::ip::make_address(_ip, ignored);
 	if (!ignored)
 	{
-		m_heartbeats.send_to(asio::buffer(_bytes), {address, m_settings.heartbeat_port}, 0, ignored);
+		m_datagram_socket.send_to(asio::buffer(_bytes), {address, m_settings.heartbeat_port}, 0, ignored);
 	}
 }
 
-std::optional<steady_time> entry_node::others_answered_at() const
+std::optional<steady_time> entry_node::peers_store_response_at() const
 {
-	return m_fleet.store_answered_at();
+	return m_fleet.peers_store_response_time();
 }
 
 bool entry_node::is_reader() const
@@ -175,33 +175,34 @@
 	return m_fleet.reader().reads;
 }
 
-bool entry_node::is_registered_one() const
+bool entry_node::should_register() const
 {
 	return m_fleet.registers();
 }
 
-void entry_node::on_read(const store_changes& _changes)
+void entry_node::on_store_changes(const store_changes& _changes)
 {
 	const std::vector<std::string> others = m_fleet.region_addresses();
 	if (all_read(others.size()))
 	{
 		return;
 	}
-	store_changes told = _changes;
-	const bool routes_asked_for = take_out_if_large(told.batch, m_dialect.codec().routes_key());
-	const std::vector<store_changes> parts = split_for_datagrams(told);
-	const telling way = plan_telling(parts.size(), m_fleet.is_large());
-	if (telling::datagrams == way)
+	store_changes sent = _changes;
+	const bool routes_omitted = take_out_if_large(sent.batch, m_dialect.codec().routes_key());
+	const std::vector<store_changes> parts = split_for_datagrams(sent);
+	const telling method = plan_telling(parts.size(), m_fleet.is_large());
+	if (telling::datagrams == method)
 	{
-		send_changes(parts, m_fleet.first_told_addresses());
+		send_changes(parts, m_fleet.change_receivers());
 	}
-	if (telling::announcement == way || routes_asked_for)
+	if (telling::announcement == method || routes_omitted)
 	{
-		announce_to_region(); // The new revision and version make them ask.
+		send_heartbeat_to_region(); // The higher revision and version make the other nodes request the
+		                            // changes.
 	}
 }
 
-void entry_node::announce_to(const std::vector<std::string>& _addresses)
+void entry_node::send_heartbeat_to(const std::vector<std::string>& _addresses)
 {
 	refresh_heartbeat();
 	const std::vector<std::uint8_t> bytes = encode(m_fleet.greet(greeting::heartbeat));
@@ -211,9 +212,9 @@
 	}
 }
 
-void entry_node::announce_to_region()
+void entry_node::send_heartbeat_to_region()
 {
-	announce_to(m_fleet.region_addresses());
+	send_heartbeat_to(m_fleet.region_addresses());
 }
 
 void entry_node::send_changes(
@@ -229,13 +230,13 @@
 	}
 }
 
-void entry_node::take_changes(const store_changes& _changes)
+void entry_node::on_peer_changes(const store_changes& _changes)
 {
 	const bool is_new = _changes.batch.store_revision > m_replica.revision();
 	m_replica.apply(_changes);
 	if (is_new)
 	{
-		send_changes({_changes}, m_fleet.told_on_addresses(m_heartbeat_sender.address().to_string()));
+		send_changes({_changes}, m_fleet.change_relay_receivers(m_datagram_sender.address().to_string()));
 	}
 }
 
@@ -266,58 +267,59 @@
 	}
 }
 
-void entry_node::learn_from_peers()
+void entry_node::fetch_from_peers()
 {
 	if (!m_settings.peers)
 	{
 		return;
 	}
-	learn_changes();
-	learn_routes();
+	fetch_missed_changes();
+	fetch_missed_routes();
 }
 
-void entry_node::learn_changes()
+void entry_node::fetch_missed_changes()
 {
-	if (m_learning || nullptr == m_fleet.newer(m_replica.revision()))
+	if (m_fetching_changes || nullptr == m_fleet.peer_with_newer_keys(m_replica.revision()))
 	{
 		return;
 	}
-	if (0 == m_replica.revision() || m_replica.copied_up_to())
+	if (0 == m_replica.revision() || m_replica.copy_position())
 	{
-		learn_copy();
+		fetch_full_copy();
 		return;
 	}
-	m_learning = true;
-	m_learn_timer.expires_after(wait_before_asking(is_reader()));
-	m_learn_timer.async_wait(
+	m_fetching_changes = true;
+	m_fetch_timer.expires_after(wait_before_asking(is_reader()));
+	m_fetch_timer.async_wait(
 	    [this](beast::error_code)
 	    {
-		    const node_heartbeat* newer = m_fleet.newer(m_replica.revision());
+		    const node_heartbeat* newer = m_fleet.peer_with_newer_keys(m_replica.revision());
 		    if (nullptr == newer)
 		    {
-			    m_learning = false;
+			    m_fetching_changes = false;
 			    return;
 		    }
 		    start(m_context,
 		        [this, ip = newer->ip](const yield_context& _yield)
 		        {
-			        fetch_state(ip, k_leave_routes_out, 0, _yield);
-			        m_learning = false;
+			        fetch_changes(ip, k_omit_routes, 0, _yield);
+			        m_fetching_changes = false;
 		        });
 	    });
 }
 
-void entry_node::learn_routes()
+void entry_node::fetch_missed_routes()
 {
-	if (m_learning_routes || nullptr == m_fleet.newer_routes(routes_version()))
+	if (m_fetching_routes || nullptr == m_fleet.newer_routes(routes_version()))
 	{
 		return;
 	}
-	m_learning_routes = true;
-	const bool starts = 0 == routes_version() && 0 == m_routes_tries;
-	m_learn_routes_timer.expires_after(
-	    starts ? std::chrono::milliseconds(0) : wait_before_asking_routes(is_reader(), m_routes_tries));
-	m_learn_routes_timer.async_wait(
+	m_fetching_routes = true;
+	const bool is_first_fetch = 0 == routes_version() && 0 == m_routes_failures;
+	m_fetch_routes_timer.expires_after(is_first_fetch
+	                                       ? std::chrono::milliseconds(0)
+	                                       : wait_before_asking_routes(is_reader(), m_routes_failures));
+	m_fetch_routes_timer.async_wait(
 	    [this](beast::error_code)
 	    {
 		    start(m_context,
@@ -325,8 +327,8 @@
 		        {
 			        const std::uint64_t before = routes_version();
 			        fetch_routes(_yield);
-			        m_routes_tries = routes_version() > before ? 0 : m_routes_tries + 1;
-			        m_learning_routes = false;
+			        m_routes_failures = routes_version() > before ? 0 : m_routes_failures + 1;
+			        m_fetching_routes = false;
 		        });
 	    });
 }
@@ -334,7 +336,7 @@
 void entry_node::fetch_routes(const yield_context& _yield)
 {
 	fetch_routes_from_peer(k_routes_of_peers, _yield);
-	// A large one comes from the store, if that answers: the links of nodes are narrow.
+	// A large configuration is read from the store if it is reachable: the links of nodes are narrow.
 	if (0 == m_sync.health().failures && nullptr != m_fleet.newer_routes(routes_version()))
 	{
 		m_sync.read_routes(_yield);
@@ -342,11 +344,11 @@
 	fetch_routes_from_peer(std::numeric_limits<std::size_t>::max(), _yield);
 }
 
-void entry_node::fetch_routes_from_peer(std::size_t _most_bytes, const yield_context& _yield)
+void entry_node::fetch_routes_from_peer(std::size_t _max_bytes, const yield_context& _yield)
 {
 	if (const node_heartbeat* newer = m_fleet.newer_routes(routes_version()))
 	{
-		fetch_state(std::string(newer->ip), m_replica.routes_revision(), _most_bytes, _yield);
+		fetch_changes(std::string(newer->ip), m_replica.routes_revision(), _max_bytes, _yield);
 	}
 }
 
@@ -355,19 +357,20 @@
 	return m_forwarder.routes() ? m_forwarder.routes()->version() : 0;
 }
 
-void entry_node::fetch_state(const std::string& _ip, std::int64_t _routes_revision, std::size_t _most_routes,
-    const yield_context& _yield)
+void entry_node::fetch_changes(const std::string& _ip, std::int64_t _routes_revision,
+    std::size_t _max_routes_bytes, const yield_context& _yield)
 {
 	const endpoint where{_ip, m_settings.peers->port};
 	const std::string target = "/changes?after=" + std::to_string(m_replica.revision()) +
 	                           "&routes=" + std::to_string(_routes_revision) +
-	                           "&most_routes=" + std::to_string(_most_routes) + "&pages=1";
+	                           "&most_routes=" + std::to_string(_max_routes_bytes) + "&pages=1";
 	result<http_response> reply =
 	    m_peer_caller.call(where, make_request(http::verb::get, target, where), k_learn_timeout, _yield);
 	const http_response* response = value_of(reply);
-	if (nullptr != response && http::status::gone == response->result() && !m_replica.copied_up_to())
+	if (nullptr != response && http::status::gone == response->result() && !m_replica.copy_position())
 	{
-		m_copy_began = m_clock.steady(); // What was deleted meanwhile is not known there any more.
+		m_copy_started_at =
+		    m_clock.steady(); // That node does not know all deletes since this node's revision any more.
 		m_replica.begin_copy();
 		return;
 	}
--- a/src/entry_node/entry_settings.cpp
+++ b/src/entry_node/entry_settings.cpp
@@ -53,16 +53,16 @@
 	}
 }})JSON";
 
-/// Seconds for which callers may keep the answer to a look-up, unless the setting asks for less: look-ups
-/// against requests that still go to a node which has stopped. Not measured by itself.
+/// Time to live of a look-up response in seconds, unless the settings demand less. Higher: more requests
+/// still go to a node that has stopped. Lower: more look-ups.
 constexpr double k_lookup_ttl_s = 1.5;
-/// Seconds of the window of quotas, where the settings name none.
+/// Default length of the quota window, in seconds.
 constexpr double k_quota_window_s = 5.0;
-/// A known key is named as the one that was meant if it differs by fewer letters than these. Not measured.
-constexpr std::size_t k_alike = 4;
+/// A key of the schema is suggested for an unknown key when their edit distance is below this.
+constexpr std::size_t k_max_key_distance = 4;
 
-/// Reads an address. One that the schema's pattern lets through may still be none, as in "1.2.3.4.5:80".
-/// @returns Nothing when the text is missing or empty, or after a mistake.
+/// Reads an address. A text that matches the schema's pattern may still be invalid, as in "1.2.3.4.5:80".
+/// @returns Nothing when the text is missing, empty or invalid; an invalid text is added to _mistakes.
 std::optional<endpoint> endpoint_at(
     const nlohmann::json& _document, const std::string& _path, std::vector<mistake>& _mistakes)
 {
@@ -90,7 +90,7 @@
 	}
 }
 
-/// @returns Letters to be added, taken away or replaced to make one word of the other.
+/// @returns Levenshtein distance: insertions, deletions and replacements that turn one word into the other.
 std::size_t edit_distance(const std::string& _left, const std::string& _right)
 {
 	std::vector<std::size_t> row(_right.size() + 1);
@@ -115,7 +115,7 @@
 std::string nearest_key(const std::string& _key, const nlohmann::json& _known)
 {
 	std::string nearest;
-	std::size_t best = k_alike;
+	std::size_t best = k_max_key_distance;
 	for (const auto& [name, schema] : _known.items())
 	{
 		const std::size_t distance = edit_distance(_key, name);
@@ -148,7 +148,7 @@
 	}
 }
 
-std::chrono::milliseconds from_seconds(double _seconds)
+std::chrono::milliseconds to_milliseconds(double _seconds)
 {
 	return std::chrono::milliseconds(static_cast<std::int64_t>(_seconds * 1000.0));
 }
@@ -156,7 +156,7 @@
 quota_bounds quotas_of(const nlohmann::json& _bounds)
 {
 	quota_bounds quotas;
-	quotas.window = from_seconds(_bounds.value("quota_window_s", k_quota_window_s));
+	quotas.window = to_milliseconds(_bounds.value("quota_window_s", k_quota_window_s));
 	quotas.overage = _bounds.value("quota_overage", quotas.overage);
 	quotas.slack = _bounds.value("quota_slack", quotas.slack);
 	return quotas;
@@ -199,12 +199,12 @@
 	settings.max_descriptors = _document.value("max_descriptors", settings.max_descriptors);
 	const nlohmann::json& bounds = _document["bounds"];
 	settings.bounds.retries = {
-	    bounds["retry_ratio"], bounds["retry_slack"], from_seconds(bounds["retry_window_s"])};
+	    bounds["retry_ratio"], bounds["retry_slack"], to_milliseconds(bounds["retry_window_s"])};
 	settings.bounds.max_shift = bounds["max_shift"];
 	settings.quotas = quotas_of(bounds);
 	settings.expose_share = bounds.value("expose_share", settings.expose_share);
-	settings.lookup_ttl = from_seconds(std::min(k_lookup_ttl_s, bounds["lookup_ttl_max_s"].get<double>()));
-	settings.grace = from_seconds(bounds["grace_s"]);
+	settings.lookup_ttl = to_milliseconds(std::min(k_lookup_ttl_s, bounds["lookup_ttl_max_s"].get<double>()));
+	settings.grace = to_milliseconds(bounds["grace_s"]);
 	if (!mistakes.empty())
 	{
 		return mistakes;
--- a/src/entry_node/entry_settings_p.h
+++ b/src/entry_node/entry_settings_p.h
@@ -2,8 +2,8 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Settings of larkrack-edge: reads them from JSON, checks them by schema and tells all mistakes at once. No
-/// state. Relies on schema for the checks and on parse_endpoint() for addresses.
+/// Settings of larkrack-edge: reads them from JSON, validates them against a schema and reports all errors at
+/// once. No state. Relies on base/settings_p.h for schema validation and on parse_endpoint() for addresses.
 #pragma once
 
 #include "entry_node/forwarder_p.h"
@@ -12,10 +12,10 @@
 
 namespace larkrack
 {
-/// Part of a service's requests that a version may get before it is judged, where the settings name none.
+/// Default maximum share of a service's requests that a new version gets until the roll-out has judged it.
 constexpr double k_expose_share = 0.1;
 
-/// Settings of one larkrack-edge; see the schema for their meaning.
+/// Validated settings of one larkrack-edge process; the schema in entry_settings.cpp describes each field.
 struct entry_settings
 {
 	placement place;
@@ -28,26 +28,27 @@
 	std::optional<endpoint> metrics;
 	endpoint store;
 	std::vector<std::string> seeds;
-	std::unordered_map<std::string, std::string> region_of; ///< By failure domain.
+	std::unordered_map<std::string, std::string> region_of; ///< Region by failure domain.
 	int max_descriptors = 1024;
 	shared_bounds bounds;
 	quota_bounds quotas;
-	double expose_share = k_expose_share; ///< Part of a service's requests at a version that is being judged.
+	/// Maximum share of a service's requests at a version that is being judged.
+	double expose_share = k_expose_share;
 	std::chrono::milliseconds lookup_ttl{0};
-	std::chrono::milliseconds grace{0}; ///< Time between the request to stop and the kill.
+	std::chrono::milliseconds grace{0}; ///< Time between SIGTERM and SIGKILL.
 };
 
-/// Checks and reads settings.
-/// @returns Settings, or all mistakes.
+/// Validates and reads settings.
+/// @returns The settings, or all errors in the document.
 std::variant<entry_settings, std::vector<mistake>> parse_entry_settings(const nlohmann::json& _document);
-/// A key that the schema does not know.
+/// A key of a settings document that the schema does not define.
 struct unknown_key
 {
-	std::string path;    ///< Place in the document, as in "/listen/caller".
-	std::string nearest; ///< Known key that it resembles most; empty when none does.
+	std::string path;    ///< JSON pointer to the key, as in "/listen/caller".
+	std::string nearest; ///< Most similar key of the schema; empty when no key is similar.
 };
-/// @returns Keys that are passed over because the schema does not know them.
+/// @returns Keys that are ignored because the schema does not define them.
 std::vector<unknown_key> unknown_keys(const nlohmann::json& _document);
-/// @returns Schema of the settings of larkrack-edge.
+/// @returns JSON schema of the settings of larkrack-edge.
 const nlohmann::json& schema_entry_settings();
 } // namespace larkrack
