--- a/tests/entry_settings_test.cpp
+++ b/tests/entry_settings_test.cpp
@@ -1,6 +1,9 @@
 // Copyright 2026 the larkrack developers. All rights reserved.
 // License: BSD 2-Clause, see LICENSE.
 
+/// @file
+/// Tests of entry_settings: validation and error reports; and of entry_log with a blocked reader.
+
 #include "fixtures.h"
 
 #include "entry_node/entry_log_p.h"
@@ -15,11 +18,11 @@
 {
 	CPPUNIT_TEST_SUITE(entry_settings_test);
 	CPPUNIT_TEST(settings_valid_are_read);
-	CPPUNIT_TEST(settings_empty_gap_names_the_field);
-	CPPUNIT_TEST(settings_all_mistakes_are_told_at_once);
-	CPPUNIT_TEST(settings_address_that_is_none_names_the_field);
-	CPPUNIT_TEST(settings_unknown_key_names_the_nearest);
-	CPPUNIT_TEST(log_blocked_reader_drops_and_counts_and_never_waits);
+	CPPUNIT_TEST(settings_empty_address_names_the_field);
+	CPPUNIT_TEST(settings_all_errors_are_reported_at_once);
+	CPPUNIT_TEST(settings_invalid_address_names_the_field);
+	CPPUNIT_TEST(settings_unknown_key_suggests_the_nearest);
+	CPPUNIT_TEST(log_with_blocked_reader_drops_and_counts_without_blocking);
 	CPPUNIT_TEST_SUITE_END();
 
 protected:
@@ -42,7 +45,7 @@
 		CPPUNIT_ASSERT_EQUAL(std::string("east"), settings->region_of.at("east-a"));
 	}
 
-	void settings_empty_gap_names_the_field()
+	void settings_empty_address_names_the_field()
 	{
 		nlohmann::json document = valid();
 		document["listen"]["callers"] = "";
@@ -52,7 +55,7 @@
 		CPPUNIT_ASSERT_EQUAL(std::string("/listen/callers"), mistakes->front().path);
 	}
 
-	void settings_address_that_is_none_names_the_field()
+	void settings_invalid_address_names_the_field()
 	{
 		nlohmann::json document = valid();
 		document["ip"] = "nowhere";
@@ -70,7 +73,7 @@
 		    to_string(*mistakes));
 	}
 
-	void settings_all_mistakes_are_told_at_once()
+	void settings_all_errors_are_reported_at_once()
 	{
 		nlohmann::json document = valid();
 		document["store"] = "nowhere";
@@ -81,7 +84,7 @@
 		CPPUNIT_ASSERT(nullptr != mistakes && 3 <= mistakes->size());
 	}
 
-	void settings_unknown_key_names_the_nearest()
+	void settings_unknown_key_suggests_the_nearest()
 	{
 		nlohmann::json document = valid();
 		document["listen"]["lookup"] = "";
@@ -93,7 +96,7 @@
 		CPPUNIT_ASSERT_EQUAL(std::string(), unknown[1].nearest);
 	}
 
-	void log_blocked_reader_drops_and_counts_and_never_waits()
+	void log_with_blocked_reader_drops_and_counts_without_blocking()
 	{
 		int ends[2];
 		CPPUNIT_ASSERT_EQUAL(0, pipe(ends));
@@ -101,20 +104,20 @@
 		for (int i = 0; i < 5000; ++i)
 		{
 			log.write(log_line(event::request_ended).number("number", i));
-			log.flush(); // Nobody reads: a write that waits would hang the test.
+			log.flush(); // Nobody reads the pipe: a blocking write would hang the test.
 		}
 		CPPUNIT_ASSERT(log.dropped() > 1000);
 		CPPUNIT_ASSERT(log.pending() <= 17000);
-		std::string told;
+		std::string output;
 		char piece[4096];
 		fcntl(ends[0], F_SETFL, O_NONBLOCK);
 		for (int round = 0; round < 100; ++round)
 		{
 			const ssize_t size = read(ends[0], piece, sizeof(piece));
-			told.append(piece, size > 0 ? static_cast<std::size_t>(size) : 0);
+			output.append(piece, size > 0 ? static_cast<std::size_t>(size) : 0);
 			log.flush();
 		}
-		CPPUNIT_ASSERT(std::string::npos != told.find("\"log_dropped\""));
+		CPPUNIT_ASSERT(std::string::npos != output.find("\"log_dropped\""));
 		CPPUNIT_ASSERT_EQUAL(std::size_t(0), log.pending());
 		close(ends[0]);
 		close(ends[1]);
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -1,6 +1,10 @@
 // Copyright 2026 the larkrack developers. All rights reserved.
 // License: BSD 2-Clause, see LICENSE.
 
+/// @file
+/// Tests of fleet: membership by heartbeats and digests, look-ups, readers of the store, shares and lenders;
+/// and of the codecs of heartbeats and digests.
+
 #include "fixtures.h"
 
 #include "entry_node/digest_codec_p.h"
@@ -16,41 +20,41 @@
 class fleet_test : public CppUnit::TestFixture
 {
 	CPPUNIT_TEST_SUITE(fleet_test);
-	CPPUNIT_TEST(heartbeat_encoded_and_decoded_is_the_same);
-	CPPUNIT_TEST(heartbeat_cut_short_is_refused);
-	CPPUNIT_TEST(heartbeat_with_an_absurd_rate_is_refused);
-	CPPUNIT_TEST(heartbeat_with_an_unknown_state_is_refused);
-	CPPUNIT_TEST(lookup_names_only_ready_nodes_of_the_region);
-	CPPUNIT_TEST(lookup_silent_node_is_left_out);
-	CPPUNIT_TEST(lookup_region_without_nodes_names_homes_first);
-	CPPUNIT_TEST(lookup_nobody_ready_names_this_node);
-	CPPUNIT_TEST(restart_with_an_older_clock_is_heard_once_the_former_life_is_silent);
-	CPPUNIT_TEST(warmup_one_node_of_the_region_sends);
-	CPPUNIT_TEST(warmup_node_that_sees_nobody_takes_its_part_only);
-	CPPUNIT_TEST(readers_are_the_same_few_in_every_view);
-	CPPUNIT_TEST(readers_one_without_the_store_is_replaced);
-	CPPUNIT_TEST(readers_all_without_the_store_only_few_go_on_calling);
-	CPPUNIT_TEST(store_answer_told_by_another_node_of_the_region_is_known);
-	CPPUNIT_TEST(interval_large_fleet_grows);
-	CPPUNIT_TEST(targets_far_nodes_get_one_heartbeat_of_their_rounds);
-	CPPUNIT_TEST(targets_address_that_never_answers_is_tried_more_rarely);
-	CPPUNIT_TEST(new_node_that_knows_few_is_introduced_once);
-	CPPUNIT_TEST(silent_node_that_its_neighbours_hear_is_live);
-	CPPUNIT_TEST(silent_node_that_nobody_hears_is_left_out_in_time);
-	CPPUNIT_TEST(stopping_node_told_by_a_neighbour_is_left_out);
-	CPPUNIT_TEST(news_of_another_failure_domain_are_not_taken);
-	CPPUNIT_TEST(neighbours_are_told_in_large_fleets_only);
-	CPPUNIT_TEST(newer_state_of_a_node_that_died_is_not_asked_for_until_it_is_back);
-	CPPUNIT_TEST(newer_configuration_of_a_node_that_died_is_not_asked_for);
-	CPPUNIT_TEST(node_that_comes_back_in_another_failure_domain_counts_there);
+	CPPUNIT_TEST(heartbeat_survives_encoding_and_decoding);
+	CPPUNIT_TEST(heartbeat_truncated_is_rejected);
+	CPPUNIT_TEST(heartbeat_with_invalid_rate_is_rejected);
+	CPPUNIT_TEST(heartbeat_with_unknown_state_is_rejected);
+	CPPUNIT_TEST(lookup_returns_only_ready_nodes_of_the_region);
+	CPPUNIT_TEST(lookup_omits_silent_node);
+	CPPUNIT_TEST(lookup_in_region_without_nodes_returns_home_regions_first);
+	CPPUNIT_TEST(lookup_without_ready_nodes_returns_this_node);
+	CPPUNIT_TEST(restart_with_lower_incarnation_is_accepted_once_the_former_one_is_silent);
+	CPPUNIT_TEST(warmup_is_sent_by_one_node_of_the_region);
+	CPPUNIT_TEST(warmup_by_isolated_nodes_is_divided_evenly);
+	CPPUNIT_TEST(readers_are_the_same_four_in_every_view);
+	CPPUNIT_TEST(reader_without_connection_to_the_store_is_replaced);
+	CPPUNIT_TEST(readers_in_store_outage_are_only_three);
+	CPPUNIT_TEST(store_response_reported_by_node_of_the_region_is_known);
+	CPPUNIT_TEST(interval_grows_with_the_failure_domain);
+	CPPUNIT_TEST(targets_include_far_node_once_per_cycle);
+	CPPUNIT_TEST(targets_include_unresponsive_address_less_often);
+	CPPUNIT_TEST(new_node_with_few_addresses_gets_one_introduction);
+	CPPUNIT_TEST(silent_node_reported_by_neighbours_is_live);
+	CPPUNIT_TEST(silent_node_without_recent_reports_dies_in_time);
+	CPPUNIT_TEST(stopping_node_reported_by_neighbour_is_omitted);
+	CPPUNIT_TEST(report_about_another_failure_domain_is_ignored);
+	CPPUNIT_TEST(neighbours_are_reported_only_in_large_fleets);
+	CPPUNIT_TEST(newer_keys_of_dead_node_are_not_requested_until_it_is_back);
+	CPPUNIT_TEST(newer_configuration_of_dead_node_is_not_requested);
+	CPPUNIT_TEST(node_restarted_in_another_failure_domain_counts_there);
 	CPPUNIT_TEST(forgotten_node_is_tried_at_its_address);
 	CPPUNIT_TEST(node_without_an_incarnation_counts_once);
-	CPPUNIT_TEST(demand_of_a_dead_node_is_left_out);
+	CPPUNIT_TEST(demand_of_dead_node_is_excluded);
 	CPPUNIT_TEST(digest_of_another_failure_domain_makes_its_nodes_known);
-	CPPUNIT_TEST(digest_encoded_and_decoded_is_the_same_and_fits_a_datagram);
-	CPPUNIT_TEST(digest_that_is_none_is_refused);
-	CPPUNIT_TEST(lenders_follow_a_node_that_stops);
-	CPPUNIT_TEST(addresses_told_in_a_large_fleet_change_until_all_were_told);
+	CPPUNIT_TEST(digest_survives_encoding_and_decoding_and_fits_into_a_datagram);
+	CPPUNIT_TEST(digest_invalid_is_rejected);
+	CPPUNIT_TEST(lenders_exclude_a_stopping_node);
+	CPPUNIT_TEST(addresses_listed_in_a_large_fleet_rotate_through_all);
 	CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -84,7 +88,7 @@
 		return view;
 	}
 
-	void heartbeat_encoded_and_decoded_is_the_same()
+	void heartbeat_survives_encoding_and_decoding()
 	{
 		node_heartbeat one = node("n1");
 		one.store_revision = 77;
@@ -108,7 +112,7 @@
 		CPPUNIT_ASSERT(std::chrono::milliseconds(1250) == same->neighbours.at(0).age);
 	}
 
-	void heartbeat_cut_short_is_refused()
+	void heartbeat_truncated_is_rejected()
 	{
 		const std::vector<std::uint8_t> bytes = encode(node("n1"));
 		for (std::size_t size = 0; size < bytes.size(); ++size)
@@ -118,7 +122,7 @@
 		}
 	}
 
-	void heartbeat_with_an_absurd_rate_is_refused()
+	void heartbeat_with_invalid_rate_is_rejected()
 	{
 		for (const double rate : {-1.0, 1e9, std::nan(""), HUGE_VAL})
 		{
@@ -135,19 +139,19 @@
 		}
 	}
 
-	void heartbeat_with_an_unknown_state_is_refused()
+	void heartbeat_with_unknown_state_is_rejected()
 	{
 		for (const int state : {-1, 3, 200})
 		{
-			node_heartbeat absurd = node("n1");
-			absurd.state = static_cast<node_state>(state);
-			const std::vector<std::uint8_t> bytes = encode(absurd);
+			node_heartbeat invalid = node("n1");
+			invalid.state = static_cast<node_state>(state);
+			const std::vector<std::uint8_t> bytes = encode(invalid);
 			result<node_heartbeat> decoded = decode_heartbeat(bytes.data(), bytes.size());
 			CPPUNIT_ASSERT(nullptr == value_of(decoded));
 		}
 	}
 
-	void lookup_names_only_ready_nodes_of_the_region()
+	void lookup_returns_only_ready_nodes_of_the_region()
 	{
 		fleet view = view_of("n1", 2);
 		node_heartbeat stopping = node("n3");
@@ -158,7 +162,7 @@
 		CPPUNIT_ASSERT(expected == view.look_up(region_name("east"), {}).addresses);
 	}
 
-	void lookup_silent_node_is_left_out()
+	void lookup_omits_silent_node()
 	{
 		fleet view = view_of("n1", 2);
 		m_clock.advance(std::chrono::seconds(2));
@@ -166,7 +170,7 @@
 		    std::vector<std::string>{"10.0.0.1:80"} == view.look_up(region_name("east"), {}).addresses);
 	}
 
-	void lookup_region_without_nodes_names_homes_first()
+	void lookup_in_region_without_nodes_returns_home_regions_first()
 	{
 		fleet view = view_of("n1", 2);
 		view.hear(node("n7", "west"));
@@ -176,7 +180,7 @@
 		    view.look_up(region_name("south"), {region_name("south"), region_name("west")}).addresses);
 	}
 
-	void lookup_nobody_ready_names_this_node()
+	void lookup_without_ready_nodes_returns_this_node()
 	{
 		fleet view = view_of("n1", 0);
 		view.self().state = node_state::stopping;
@@ -184,19 +188,19 @@
 		    std::vector<std::string>{"10.0.0.1:80"} == view.look_up(region_name("east"), {}).addresses);
 	}
 
-	void restart_with_an_older_clock_is_heard_once_the_former_life_is_silent()
+	void restart_with_lower_incarnation_is_accepted_once_the_former_one_is_silent()
 	{
 		fleet view = view_of("n1", 2);
-		node_heartbeat reborn = node("n2");
-		reborn.incarnation = 10; // The wall clock went back.
-		view.hear(reborn);
+		node_heartbeat restarted = node("n2");
+		restarted.incarnation = 10; // Its wall clock was set back.
+		view.hear(restarted);
 		CPPUNIT_ASSERT_EQUAL(std::uint64_t(1000), view.members().at(node_name("n2")).last.incarnation);
 		m_clock.advance(std::chrono::seconds(2));
-		view.hear(reborn);
+		view.hear(restarted);
 		CPPUNIT_ASSERT_EQUAL(std::uint64_t(10), view.members().at(node_name("n2")).last.incarnation);
 	}
 
-	void warmup_one_node_of_the_region_sends()
+	void warmup_is_sent_by_one_node_of_the_region()
 	{
 		backend_state backend;
 		for (std::uint32_t key = 0; key < 50; ++key)
@@ -211,20 +215,20 @@
 		}
 	}
 
-	void warmup_node_that_sees_nobody_takes_its_part_only()
+	void warmup_by_isolated_nodes_is_divided_evenly()
 	{
 		backend_state backend;
 		double sum = 0.0;
 		for (int i = 1; i <= 9; ++i)
 		{
 			fleet view = view_of("n" + std::to_string(i), 9);
-			m_clock.advance(std::chrono::seconds(5)); // Cut off: nothing was heard since.
+			m_clock.advance(std::chrono::seconds(5)); // Isolated: no heartbeat since.
 			sum += view.warmup_part(backend);
 		}
 		CPPUNIT_ASSERT_DOUBLES_EQUAL(1.0, sum, 1e-9);
 	}
 
-	void readers_are_the_same_few_in_every_view()
+	void readers_are_the_same_four_in_every_view()
 	{
 		int readers = 0;
 		for (int i = 1; i <= 20; ++i)
@@ -234,21 +238,21 @@
 		CPPUNIT_ASSERT_EQUAL(4, readers);
 	}
 
-	void readers_one_without_the_store_is_replaced()
+	void reader_without_connection_to_the_store_is_replaced()
 	{
-		const auto first_of = [this](const std::string& _troubled)
+		const auto first_of = [this](const std::string& _disconnected)
 		{
 			for (int i = 1; i <= 9; ++i)
 			{
 				fleet view = view_of("n" + std::to_string(i), 9);
-				if (!_troubled.empty() && view.self().node.text != _troubled)
+				if (!_disconnected.empty() && view.self().node.text != _disconnected)
 				{
-					node_heartbeat troubled = node(_troubled);
-					troubled.sequence = 2;
-					troubled.store_reached = false;
-					view.hear(troubled);
+					node_heartbeat disconnected = node(_disconnected);
+					disconnected.sequence = 2;
+					disconnected.store_reached = false;
+					view.hear(disconnected);
 				}
-				if (view.self().node.text != _troubled && 0 == view.reader().rank)
+				if (view.self().node.text != _disconnected && 0 == view.reader().rank)
 				{
 					return view.self().node.text;
 				}
@@ -260,7 +264,7 @@
 		CPPUNIT_ASSERT(!first.empty() && !next.empty() && first != next);
 	}
 
-	void readers_all_without_the_store_only_few_go_on_calling()
+	void readers_in_store_outage_are_only_three()
 	{
 		int readers = 0;
 		for (int i = 1; i <= 20; ++i)
@@ -278,10 +282,10 @@
 		CPPUNIT_ASSERT_EQUAL(3, readers);
 	}
 
-	void store_answer_told_by_another_node_of_the_region_is_known()
+	void store_response_reported_by_node_of_the_region_is_known()
 	{
 		fleet view = view_of("n1", 3);
-		CPPUNIT_ASSERT(!view.store_answered_at());
+		CPPUNIT_ASSERT(!view.peers_store_response_time());
 		node_heartbeat other = node("n2");
 		other.sequence = 2;
 		other.store_answer_age = std::chrono::milliseconds(400);
@@ -289,53 +293,55 @@
 		node_heartbeat far = node("n9", "west");
 		far.store_answer_age = std::chrono::milliseconds(0);
 		view.hear(far);
-		CPPUNIT_ASSERT(m_clock.steady() - std::chrono::milliseconds(400) == view.store_answered_at().value());
+		CPPUNIT_ASSERT(
+		    m_clock.steady() - std::chrono::milliseconds(400) == view.peers_store_response_time().value());
 	}
 
-	void interval_large_fleet_grows()
+	void interval_grows_with_the_failure_domain()
 	{
 		CPPUNIT_ASSERT(view_of("n1", 9).interval() == std::chrono::milliseconds(100));
 		CPPUNIT_ASSERT(view_of("n1", 101).interval() == std::chrono::milliseconds(1200));
 	}
 
-	void targets_far_nodes_get_one_heartbeat_of_their_rounds()
+	void targets_include_far_node_once_per_cycle()
 	{
-		expect_one_heartbeat_of_its_rounds(30);
-		expect_one_heartbeat_of_its_rounds(5);
+		expect_one_heartbeat_per_cycle(30);
+		expect_one_heartbeat_per_cycle(5);
 	}
 
-	void new_node_that_knows_few_is_introduced_once()
+	void new_node_with_few_addresses_gets_one_introduction()
 	{
 		fleet view = view_of("n1", 200);
-		node_heartbeat fresh = node("n201");
-		CPPUNIT_ASSERT(greeting::introduction == view.hear(fresh));
-		++fresh.sequence;
-		CPPUNIT_ASSERT(greeting::none == view.hear(fresh));
-		++fresh.incarnation;
-		CPPUNIT_ASSERT(greeting::introduction == view.hear(fresh));
-		node_heartbeat informed = node("n202");
-		informed.known_ips.assign(64, "10.0.0.9");
-		CPPUNIT_ASSERT(greeting::heartbeat == view.hear(informed));
-		CPPUNIT_ASSERT(greeting::heartbeat == view_of("n1", 0).hear(fresh)); // There is nobody to tell of.
+		node_heartbeat new_node = node("n201");
+		CPPUNIT_ASSERT(greeting::introduction == view.hear(new_node));
+		++new_node.sequence;
+		CPPUNIT_ASSERT(greeting::none == view.hear(new_node));
+		++new_node.incarnation;
+		CPPUNIT_ASSERT(greeting::introduction == view.hear(new_node));
+		node_heartbeat updated = node("n202");
+		updated.known_ips.assign(64, "10.0.0.9");
+		CPPUNIT_ASSERT(greeting::heartbeat == view.hear(updated));
+		CPPUNIT_ASSERT(
+		    greeting::heartbeat == view_of("n1", 0).hear(new_node)); // There are no addresses to send.
 		CPPUNIT_ASSERT(view.greet(greeting::heartbeat).known_ips.empty());
 	}
 
-	void addresses_told_in_a_large_fleet_change_until_all_were_told()
+	void addresses_listed_in_a_large_fleet_rotate_through_all()
 	{
 		fleet view = view_of("n1", 295);
-		std::set<std::string> told;
+		std::set<std::string> listed;
 		for (int i = 0; i < 9; ++i)
 		{
 			const std::vector<std::string> some = view.greet(greeting::introduction).known_ips;
 			CPPUNIT_ASSERT_EQUAL(std::size_t(64), some.size());
-			told.insert(some.begin(), some.end());
+			listed.insert(some.begin(), some.end());
 		}
-		CPPUNIT_ASSERT_EQUAL(std::size_t(294), told.size());
+		CPPUNIT_ASSERT_EQUAL(std::size_t(294), listed.size());
 	}
 
-	void targets_address_that_never_answers_is_tried_more_rarely()
+	void targets_include_unresponsive_address_less_often()
 	{
-		fleet view = large_view();
+		fleet view = view_of_large_fleet();
 		view.add_address("10.9.9.9");
 		int tries = 0;
 		for (int i = 0; i < 98; ++i)
@@ -344,21 +350,21 @@
 			const std::vector<std::string> targets = view.targets();
 			tries += static_cast<int>(std::count(targets.begin(), targets.end(), "10.9.9.9"));
 		}
-		CPPUNIT_ASSERT_EQUAL(8 + 10, tries); // Each of the first eight, and one of nine after them.
+		CPPUNIT_ASSERT_EQUAL(8 + 10, tries); // Each of the first 8 heartbeats, then every 9th.
 	}
 
-	/// @returns View of n1 in east-0 on 294 others in 9 failure domains of three regions.
-	fleet large_view()
+	/// @returns View of n1 that has heard 294 other nodes, in 9 failure domains of three regions.
+	fleet view_of_large_fleet()
 	{
-		fleet view(m_clock, in_large("n1"), *m_registry, m_log);
+		fleet view(m_clock, node_of_large_fleet("n1"), *m_registry, m_log);
 		for (int i = 2; i <= 295; ++i)
 		{
-			view.hear(in_large("n" + std::to_string(i)));
+			view.hear(node_of_large_fleet("n" + std::to_string(i)));
 		}
 		return view;
 	}
 
-	static node_heartbeat in_large(const std::string& _name)
+	static node_heartbeat node_of_large_fleet(const std::string& _name)
 	{
 		const int place = std::stoi(_name.substr(1)) % 9;
 		const std::string regions[] = {"east", "west", "north"};
@@ -368,19 +374,20 @@
 		return one;
 	}
 
-	/// A heartbeat of another node of n4's failure domain (of the region of n1) that tells of n4.
-	static node_heartbeat neighbour_of_n4(node_state _state, std::chrono::milliseconds _age)
+	/// @returns A heartbeat of n13 that reports on n4, a node of the same failure domain.
+	static node_heartbeat report_about_n4(node_state _state, std::chrono::milliseconds _age)
 	{
-		node_heartbeat teller = in_large("n13");
-		teller.sequence = 2;
-		teller.neighbours = {{short_hash("n4"), _state, _age}};
-		return teller;
+		node_heartbeat sender = node_of_large_fleet("n13");
+		sender.sequence = 2;
+		sender.neighbours = {{short_hash("n4"), _state, _age}};
+		return sender;
 	}
 
-	static bool names(const fleet& _view, const std::string& _node)
+	static bool lookup_includes(const fleet& _view, const std::string& _node)
 	{
-		const std::vector<std::string> named = _view.look_up(region_name("west"), {}).addresses;
-		return named.end() != std::find(named.begin(), named.end(), "10.0.0." + _node.substr(1) + ":80");
+		const std::vector<std::string> addresses = _view.look_up(region_name("west"), {}).addresses;
+		return addresses.end() !=
+		       std::find(addresses.begin(), addresses.end(), "10.0.0." + _node.substr(1) + ":80");
 	}
 
 	static node_state state_of(const fleet& _view, const std::string& _node)
@@ -388,92 +395,93 @@
 		return _view.members().at(node_name(_node)).last.state;
 	}
 
-	void silent_node_that_its_neighbours_hear_is_live()
+	void silent_node_reported_by_neighbours_is_live()
 	{
-		fleet view = large_view();
+		fleet view = view_of_large_fleet();
 		m_clock.advance(std::chrono::milliseconds(2400));
-		view.hear(neighbour_of_n4(node_state::ready, std::chrono::milliseconds(100)));
+		view.hear(report_about_n4(node_state::ready, std::chrono::milliseconds(100)));
 		m_clock.advance(std::chrono::milliseconds(2400));
-		CPPUNIT_ASSERT(names(view, "n4"));
+		CPPUNIT_ASSERT(lookup_includes(view, "n4"));
 	}
 
-	void silent_node_that_nobody_hears_is_left_out_in_time()
+	void silent_node_without_recent_reports_dies_in_time()
 	{
-		fleet view = large_view();
+		fleet view = view_of_large_fleet();
 		m_clock.advance(std::chrono::milliseconds(2400));
-		node_heartbeat teller = neighbour_of_n4(node_state::ready, std::chrono::milliseconds(2350));
-		view.hear(teller);
+		node_heartbeat sender = report_about_n4(node_state::ready, std::chrono::milliseconds(2350));
+		view.hear(sender);
 		CPPUNIT_ASSERT(node_state::ready == state_of(view, "n4"));
 		CPPUNIT_ASSERT(view.is_live(node_name("n4")));
-		m_clock.advance(std::chrono::milliseconds(700)); // 3.05 s since its last sign, of 3.0 s.
+		m_clock.advance(std::chrono::milliseconds(700)); // 3.05 s since the last report; the limit is 3.0 s.
 		CPPUNIT_ASSERT(!view.is_live(node_name("n4")));
-		CPPUNIT_ASSERT(!names(view, "n4"));
+		CPPUNIT_ASSERT(!lookup_includes(view, "n4"));
 	}
 
-	void stopping_node_told_by_a_neighbour_is_left_out()
+	void stopping_node_reported_by_neighbour_is_omitted()
 	{
-		fleet view = large_view();
+		fleet view = view_of_large_fleet();
 		m_clock.advance(std::chrono::milliseconds(300));
-		view.hear(neighbour_of_n4(node_state::stopping, std::chrono::milliseconds(500)));
-		CPPUNIT_ASSERT(node_state::ready == state_of(view, "n4")); // Older than what it said itself.
-		node_heartbeat newer = neighbour_of_n4(node_state::stopping, std::chrono::milliseconds(50));
+		view.hear(report_about_n4(node_state::stopping, std::chrono::milliseconds(500)));
+		CPPUNIT_ASSERT(
+		    node_state::ready == state_of(view, "n4")); // The report is older than n4's own heartbeat.
+		node_heartbeat newer = report_about_n4(node_state::stopping, std::chrono::milliseconds(50));
 		newer.sequence = 3;
 		view.hear(newer);
 		CPPUNIT_ASSERT(node_state::stopping == state_of(view, "n4"));
-		CPPUNIT_ASSERT(!names(view, "n4"));
+		CPPUNIT_ASSERT(!lookup_includes(view, "n4"));
 	}
 
-	void news_of_another_failure_domain_are_not_taken()
+	void report_about_another_failure_domain_is_ignored()
 	{
-		fleet view = large_view();
+		fleet view = view_of_large_fleet();
 		m_clock.advance(std::chrono::milliseconds(300));
-		node_heartbeat liar = in_large("n5");
-		liar.sequence = 2;
-		liar.neighbours = {{short_hash("n4"), node_state::stopping, std::chrono::milliseconds(0)}};
-		view.hear(liar);
+		node_heartbeat foreign = node_of_large_fleet("n5");
+		foreign.sequence = 2;
+		foreign.neighbours = {{short_hash("n4"), node_state::stopping, std::chrono::milliseconds(0)}};
+		view.hear(foreign);
 		CPPUNIT_ASSERT(node_state::ready == state_of(view, "n4"));
 	}
 
-	void neighbours_are_told_in_large_fleets_only()
+	void neighbours_are_reported_only_in_large_fleets()
 	{
 		CPPUNIT_ASSERT(view_of("n1", 9).next().neighbours.empty());
-		fleet view = large_view();
+		fleet view = view_of_large_fleet();
 		CPPUNIT_ASSERT_EQUAL(std::size_t(32), view.next().neighbours.size());
 	}
 
-	void newer_state_of_a_node_that_died_is_not_asked_for_until_it_is_back()
+	void newer_keys_of_dead_node_are_not_requested_until_it_is_back()
 	{
 		fleet view = view_of("n1", 3);
-		CPPUNIT_ASSERT(nullptr == view.newer(0));
-		node_heartbeat informed = node("n2");
-		informed.sequence = 2;
-		informed.store_revision = 70;
-		view.hear(informed);
-		CPPUNIT_ASSERT(nullptr == view.newer(70));
-		CPPUNIT_ASSERT(node_name("n2") == view.newer(69)->node);
-		m_clock.advance(std::chrono::seconds(2)); // Silent for longer than 0.9 s: dead.
-		CPPUNIT_ASSERT(nullptr == view.newer(69));
-		CPPUNIT_ASSERT(nullptr == view.newer(0));
-		++informed.sequence;
-		view.hear(informed);
-		CPPUNIT_ASSERT(node_name("n2") == view.newer(69)->node);
-		CPPUNIT_ASSERT(node_name("n2") == view.newer(0)->node);
-	}
-
-	void newer_configuration_of_a_node_that_died_is_not_asked_for()
+		CPPUNIT_ASSERT(nullptr == view.peer_with_newer_keys(0));
+		node_heartbeat updated = node("n2");
+		updated.sequence = 2;
+		updated.store_revision = 70;
+		view.hear(updated);
+		CPPUNIT_ASSERT(nullptr == view.peer_with_newer_keys(70));
+		CPPUNIT_ASSERT(node_name("n2") == view.peer_with_newer_keys(69)->node);
+		m_clock.advance(std::chrono::seconds(2)); // n2 is silent for longer than 0.9 s and counts as dead.
+		CPPUNIT_ASSERT(nullptr == view.peer_with_newer_keys(69));
+		CPPUNIT_ASSERT(nullptr == view.peer_with_newer_keys(0));
+		++updated.sequence;
+		view.hear(updated);
+		CPPUNIT_ASSERT(node_name("n2") == view.peer_with_newer_keys(69)->node);
+		CPPUNIT_ASSERT(node_name("n2") == view.peer_with_newer_keys(0)->node);
+	}
+
+	void newer_configuration_of_dead_node_is_not_requested()
 	{
 		fleet view = view_of("n1", 3);
-		node_heartbeat informed = node("n2");
-		informed.sequence = 2;
-		informed.config_version = 7;
-		view.hear(informed);
+		node_heartbeat updated = node("n2");
+		updated.sequence = 2;
+		updated.config_version = 7;
+		view.hear(updated);
 		CPPUNIT_ASSERT(nullptr == view.newer_routes(7));
 		CPPUNIT_ASSERT(node_name("n2") == view.newer_routes(6)->node);
 		m_clock.advance(std::chrono::seconds(2));
 		CPPUNIT_ASSERT(nullptr == view.newer_routes(6));
 	}
 
-	void node_that_comes_back_in_another_failure_domain_counts_there()
+	void node_restarted_in_another_failure_domain_counts_there()
 	{
 		fleet view = view_of("n1", 30);
 		CPPUNIT_ASSERT(std::chrono::milliseconds(29 * 12) == view.interval());
@@ -483,7 +491,7 @@
 		view.hear(moved);
 		CPPUNIT_ASSERT(std::chrono::milliseconds(28 * 12) == view.interval());
 		m_clock.advance(std::chrono::seconds(61));
-		view.hear(moved); // The others are forgotten.
+		view.hear(moved); // The other nodes are removed by tick().
 		view.tick();
 		CPPUNIT_ASSERT_EQUAL(std::size_t(1), view.members().size());
 		CPPUNIT_ASSERT(std::chrono::milliseconds(100) == view.interval());
@@ -492,12 +500,12 @@
 	void node_without_an_incarnation_counts_once()
 	{
 		fleet view = view_of("n1", 30);
-		node_heartbeat absurd = node("n99");
-		absurd.incarnation = 0;
+		node_heartbeat invalid = node("n99");
+		invalid.incarnation = 0;
 		for (int i = 0; i < 5; ++i)
 		{
-			view.hear(absurd);
-			++absurd.sequence;
+			view.hear(invalid);
+			++invalid.sequence;
 		}
 		CPPUNIT_ASSERT(std::chrono::milliseconds(30 * 12) == view.interval());
 		CPPUNIT_ASSERT_EQUAL(std::size_t(30), view.members().size());
@@ -511,7 +519,8 @@
 		CPPUNIT_ASSERT(view.members().empty());
 		CPPUNIT_ASSERT(std::vector<std::string>{"10.0.0.2"} == view.targets());
 		view.hear(node("n2"));
-		CPPUNIT_ASSERT(std::vector<std::string>{"10.0.0.2"} == view.targets()); // Once, not twice.
+		CPPUNIT_ASSERT(
+		    std::vector<std::string>{"10.0.0.2"} == view.targets()); // The address is not listed twice.
 	}
 
 	/// @returns View of n1 in a failure domain of 80 nodes.
@@ -520,7 +529,7 @@
 		return view_of("n1", 80);
 	}
 
-	/// @returns A part of a digest of 16 nodes of the failure domain west-a.
+	/// @returns One part of a digest, with 16 nodes of the failure domain west-a.
 	static domain_digest west_digest(std::chrono::milliseconds _age)
 	{
 		domain_digest part;
@@ -546,10 +555,10 @@
 		view.hear_digest(west_digest(std::chrono::milliseconds(1000)));
 		CPPUNIT_ASSERT_EQUAL(std::size_t(79 + 16), view.members().size());
 		CPPUNIT_ASSERT_EQUAL(std::size_t(16), view.look_up(region_name("west"), {}).addresses.size());
-		CPPUNIT_ASSERT(nullptr != view.newer(12344));
+		CPPUNIT_ASSERT(nullptr != view.peer_with_newer_keys(12344));
 		CPPUNIT_ASSERT_DOUBLES_EQUAL(
 		    2.51 * 16 + 120, view.demand_of_others(service_name("kafi47a")).at(region_name("west")), 1e-9);
-		// An older one moves nothing, and none tells of nodes of this failure domain.
+		// A digest with older heartbeats changes nothing, and a digest of this failure domain is ignored.
 		domain_digest older = west_digest(std::chrono::milliseconds(0));
 		older.rows[0].last.sequence = 1;
 		older.rows[0].last.state = node_state::stopping;
@@ -563,7 +572,7 @@
 		CPPUNIT_ASSERT(!view.is_live(node_name("n200")));
 	}
 
-	void digest_encoded_and_decoded_is_the_same_and_fits_a_datagram()
+	void digest_survives_encoding_and_decoding_and_fits_into_a_datagram()
 	{
 		const domain_digest digest = west_digest(std::chrono::milliseconds(1250));
 		const std::vector<std::uint8_t> bytes = encode(digest);
@@ -575,9 +584,9 @@
 		CPPUNIT_ASSERT(std::chrono::milliseconds(1250) == same->rows.at(3).age);
 	}
 
-	void digest_that_is_none_is_refused()
+	void digest_invalid_is_rejected()
 	{
-		const auto refused = [](const std::vector<std::uint8_t>& _bytes)
+		const auto rejected = [](const std::vector<std::uint8_t>& _bytes)
 		{
 			const result<domain_digest> decoded = decode_domain_digest(_bytes.data(), _bytes.size());
 			return std::holds_alternative<error>(decoded);
@@ -585,19 +594,19 @@
 		const std::vector<std::uint8_t> bytes = encode(west_digest(std::chrono::milliseconds(0)));
 		for (std::size_t size = 0; size < bytes.size(); ++size)
 		{
-			CPPUNIT_ASSERT(refused({bytes.begin(), bytes.begin() + static_cast<std::ptrdiff_t>(size)}));
+			CPPUNIT_ASSERT(rejected({bytes.begin(), bytes.begin() + static_cast<std::ptrdiff_t>(size)}));
 		}
-		domain_digest of_others = west_digest(std::chrono::milliseconds(0));
-		of_others.rows[2].last.domain = domain_name("north-a");
-		CPPUNIT_ASSERT(refused(encode(of_others)));
-		domain_digest absurd = west_digest(std::chrono::milliseconds(0));
-		absurd.rows[2].last.requests_per_s = {{service_name("shop"), 1e9}};
-		CPPUNIT_ASSERT(refused(encode(absurd)));
-		CPPUNIT_ASSERT(refused(encode(west_digest(std::chrono::milliseconds(700000)))));
-		CPPUNIT_ASSERT(refused(encode(node("n1")))); // A heartbeat.
+		domain_digest foreign = west_digest(std::chrono::milliseconds(0));
+		foreign.rows[2].last.domain = domain_name("north-a");
+		CPPUNIT_ASSERT(rejected(encode(foreign)));
+		domain_digest invalid = west_digest(std::chrono::milliseconds(0));
+		invalid.rows[2].last.requests_per_s = {{service_name("shop"), 1e9}};
+		CPPUNIT_ASSERT(rejected(encode(invalid)));
+		CPPUNIT_ASSERT(rejected(encode(west_digest(std::chrono::milliseconds(700000)))));
+		CPPUNIT_ASSERT(rejected(encode(node("n1")))); // A heartbeat.
 	}
 
-	void demand_of_a_dead_node_is_left_out()
+	void demand_of_dead_node_is_excluded()
 	{
 		const service_name shop("shop");
 		fleet view = view_of("n1", 2);
@@ -618,7 +627,7 @@
 		CPPUNIT_ASSERT_DOUBLES_EQUAL(7.0, view.demand_of_others(shop).at(region_name("east")), 1e-9);
 	}
 
-	void lenders_follow_a_node_that_stops()
+	void lenders_exclude_a_stopping_node()
 	{
 		fleet view = view_of("n1", 3);
 		const std::uint64_t before = view.in_sight().version;
@@ -635,9 +644,9 @@
 		}
 	}
 
-	void expect_one_heartbeat_of_its_rounds(int _nodes)
+	void expect_one_heartbeat_per_cycle(int _nodes)
 	{
-		fleet view = view_of("n1", _nodes, "west"); // All others are in the east.
+		fleet view = view_of("n1", _nodes, "west"); // All other nodes are in the region east.
 		std::map<std::string, int> sent;
 		const int rounds = node_liveness(0, static_cast<std::size_t>(_nodes - 1)).rounds(proximity::far);
 		for (int round = 0; round < 2 * rounds; ++round)
--- a/tests/model_view.h
+++ b/tests/model_view.h
@@ -2,8 +2,8 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// What one node of a modelled fleet sees of the others: nodes are numbers, and stand in three regions by
-/// turn.
+/// Fleet view of one node in a simulated fleet, for model tests. Nodes are numbered and assigned to three
+/// regions round-robin. Owns the set of visible nodes, which the test sets.
 #pragma once
 
 #include "steering/fleet_view_p.h"
@@ -26,11 +26,11 @@
 	return "n" + std::to_string(_node);
 }
 
-/// Answers by the nodes that it was told of last. The address of a node is its number.
+/// Fleet view computed from the nodes last passed to set_seen(). The address of a node is its number.
 class model_view : public fleet_view_base
 {
 public:
-	/// Sets which nodes are in sight, this one among them.
+	/// Sets the visible nodes, including this node.
 	void set_seen(const std::vector<int>& _nodes)
 	{
 		m_all = {_nodes, {}, false};
@@ -98,8 +98,8 @@
 	}
 
 	int self = 0;
-	nodes_in_sight nodes; ///< Of all regions; a test may change what the node believes.
-	nodes_in_sight near;  ///< Of this region.
+	nodes_in_sight nodes; ///< Counts of all regions; a test may set other values.
+	nodes_in_sight near;  ///< Counts of this region.
 
 private:
 	struct part
@@ -134,7 +134,7 @@
 		return holders;
 	}
 
-	mutable part m_all; ///< Rings are built when they are first asked for.
+	mutable part m_all; ///< Rings are built on first use.
 	mutable std::map<region_name, part> m_by_region;
 };
 } // namespace larkrack
--- a/tests/node_group_fixture.h
+++ b/tests/node_group_fixture.h
@@ -2,8 +2,9 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Several nodes in one process: each with its listener, its forwarder and its own view of the same backend
-/// servers, in sight of all others. Datagrams arrive at once and are never lost.
+/// A group of entry nodes in one process. Each node has its own listener, forwarder and registry of the same
+/// backend servers, and sees all other nodes. Datagrams between them are delivered without delay or loss.
+/// Relies on entry_fixture.h for the configuration and the scripted components.
 #pragma once
 
 #include "entry_fixture.h"
@@ -20,11 +21,11 @@
 	return "n" + std::to_string(_number);
 }
 
-/// Each node sees all others; its address is its number.
-class all_in_sight : public fleet_view_alone
+/// Fleet view in which a node sees all others. The address of a node is its number.
+class full_fleet_view : public fleet_view_alone
 {
 public:
-	explicit all_in_sight(std::size_t _self) : m_self(_self)
+	explicit full_fleet_view(std::size_t _self) : m_self(_self)
 	{
 		nodes = k_group_nodes;
 		std::vector<node_name> names;
@@ -66,7 +67,7 @@
 	node_ring m_ring;
 };
 
-/// One node: a forwarder with its listener, and its own view of the backend servers.
+/// One entry node: a forwarder with its listener, and its own registry of backend servers.
 class group_node
 {
 public:
@@ -108,16 +109,16 @@
 	{
 		return m_registry;
 	}
-	void take(const std::vector<std::uint8_t>& _bytes, const std::string& _sender)
+	void receive(const std::vector<std::uint8_t>& _bytes, const std::string& _sender)
 	{
 		if (is_crash_message(_bytes.data(), _bytes.size()))
 		{
-			result<crash_message> told = decode_crash_message(_bytes.data(), _bytes.size());
-			m_crashes.on_message(*value_of(told), _sender);
+			result<crash_message> message = decode_crash_message(_bytes.data(), _bytes.size());
+			m_crashes.on_message(*value_of(message), _sender);
 			return;
 		}
-		result<limit_message> decoded = decode_limit_message(_bytes.data(), _bytes.size(), m_clock.steady());
-		m_limits.on_message(*value_of(decoded), _sender);
+		result<limit_message> message = decode_limit_message(_bytes.data(), _bytes.size(), m_clock.steady());
+		m_limits.on_message(*value_of(message), _sender);
 	}
 	void tick()
 	{
@@ -128,7 +129,7 @@
 
 private:
 	const clock_base& m_clock;
-	all_in_sight m_fleet;
+	full_fleet_view m_fleet;
 	scripted_quotas m_quotas;
 	scripted_rollouts m_rollouts;
 	backend_registry m_registry;
@@ -151,7 +152,7 @@
 	return record;
 }
 
-/// The nodes, and what they send each other.
+/// All nodes of the group, and the delivery of datagrams between them.
 class node_group
 {
 public:
@@ -166,7 +167,7 @@
 				asio::post(_context,
 				    [this, i, _bytes, to = std::stoul(_ip)]
 				    {
-					    m_nodes.at(to)->take(_bytes, std::to_string(i));
+					    m_nodes.at(to)->receive(_bytes, std::to_string(i));
 				    });
 			};
 			m_nodes.push_back(std::make_unique<group_node>(_context, _clock, i, _records, send));
--- a/tests/state_replica_test.cpp
+++ b/tests/state_replica_test.cpp
@@ -1,6 +1,10 @@
 // Copyright 2026 the larkrack developers. All rights reserved.
 // License: BSD 2-Clause, see LICENSE.
 
+/// @file
+/// Tests of state_replica: changes, full copies and the lifetime of registry entries; and of the transfer of
+/// changes and pages between nodes: compression, caches and division into datagrams.
+
 #include "fixtures.h"
 
 #include "entry_node/deflate_p.h"
@@ -12,8 +16,8 @@
 
 namespace larkrack
 {
-/// Keys "routes", "backend/ID", "evacuate/DOMAIN"; the value of a backend server is its state, and "@" with
-/// the time of its start if that is told.
+/// Minimal key layout: keys "routes", "backend/ID" and "evacuate/DOMAIN". The value of a backend server is
+/// its state, optionally followed by "@" and its start time in milliseconds.
 class plain_codec : public record_codec_base
 {
 public:
@@ -98,45 +102,45 @@
 class state_replica_test : public CppUnit::TestFixture
 {
 	CPPUNIT_TEST_SUITE(state_replica_test);
-	CPPUNIT_TEST(routes_invalid_keeps_the_last_good_ones);
-	CPPUNIT_TEST(backend_draining_is_seen_at_once);
-	CPPUNIT_TEST(backend_vanished_is_removed_after_a_moment);
-	CPPUNIT_TEST(backend_vanished_while_the_store_is_away_stays_until_the_store_is_back);
-	CPPUNIT_TEST(backend_vanished_after_the_store_came_back_leaves_within_the_drain_bound);
-	CPPUNIT_TEST(backend_vanished_before_the_store_was_lost_leaves_in_time);
-	CPPUNIT_TEST(backend_vanished_beside_a_single_failed_call_leaves_in_time);
-	CPPUNIT_TEST(backend_that_comes_back_is_not_removed);
+	CPPUNIT_TEST(routes_invalid_keep_the_last_valid_ones);
+	CPPUNIT_TEST(backend_draining_takes_effect_at_once);
+	CPPUNIT_TEST(backend_vanished_is_removed_after_delay);
+	CPPUNIT_TEST(backend_vanished_during_store_outage_stays_until_the_store_is_reachable);
+	CPPUNIT_TEST(backend_vanished_after_store_outage_is_removed_within_the_drain_limit);
+	CPPUNIT_TEST(backend_vanished_before_store_outage_is_removed_in_time);
+	CPPUNIT_TEST(backend_vanished_after_a_single_failed_call_is_removed_in_time);
+	CPPUNIT_TEST(backend_that_returns_is_not_removed);
 	CPPUNIT_TEST(backend_deleted_and_put_in_one_batch_stays);
-	CPPUNIT_TEST(backend_older_state_after_its_delete_is_passed_over);
-	CPPUNIT_TEST(evacuation_set_and_taken_back);
-	CPPUNIT_TEST(older_change_is_passed_over);
-	CPPUNIT_TEST(changes_of_another_node_bring_the_same_state);
-	CPPUNIT_TEST(changes_with_a_gap_are_taken_and_leave_the_revision);
-	CPPUNIT_TEST(changes_for_a_node_that_has_the_routes_leave_them_out);
-	CPPUNIT_TEST(changes_too_old_are_told_whole);
-	CPPUNIT_TEST(copy_in_pages_of_several_nodes_is_the_same_state);
-	CPPUNIT_TEST(copy_that_broke_off_goes_on_behind_its_last_key);
-	CPPUNIT_TEST(copy_of_older_pages_is_completed_by_the_changes_behind_them);
-	CPPUNIT_TEST(copy_takes_away_what_is_gone);
-	CPPUNIT_TEST(page_that_is_none_is_refused);
-	CPPUNIT_TEST(packed_bytes_are_unpacked_and_bounded);
-	CPPUNIT_TEST(changes_asked_for_by_many_are_packed_once);
-	CPPUNIT_TEST(pages_asked_for_by_many_are_packed_once_and_forgotten);
-	CPPUNIT_TEST(changes_split_and_joined_are_the_same);
-	CPPUNIT_TEST(changes_split_part_tells_all_deletes_up_to_its_revision);
+	CPPUNIT_TEST(backend_older_value_after_its_delete_is_ignored);
+	CPPUNIT_TEST(evacuation_set_and_cleared);
+	CPPUNIT_TEST(older_change_is_ignored);
+	CPPUNIT_TEST(changes_from_another_node_produce_the_same_state);
+	CPPUNIT_TEST(changes_after_a_gap_are_applied_and_keep_the_revision);
+	CPPUNIT_TEST(changes_omit_routes_that_the_requester_has);
+	CPPUNIT_TEST(changes_since_a_forgotten_revision_are_a_full_copy);
+	CPPUNIT_TEST(copy_from_pages_of_several_nodes_produces_the_same_state);
+	CPPUNIT_TEST(copy_interrupted_resumes_after_its_last_key);
+	CPPUNIT_TEST(copy_of_older_pages_is_completed_by_later_changes);
+	CPPUNIT_TEST(copy_removes_missing_keys);
+	CPPUNIT_TEST(page_invalid_is_rejected);
+	CPPUNIT_TEST(deflated_bytes_are_inflated_up_to_the_limit);
+	CPPUNIT_TEST(changes_requested_by_many_are_compressed_once);
+	CPPUNIT_TEST(pages_requested_by_many_are_compressed_once_and_expire);
+	CPPUNIT_TEST(changes_split_and_joined_are_unchanged);
+	CPPUNIT_TEST(changes_split_part_has_only_deletes_of_its_revisions);
 	CPPUNIT_TEST(changes_with_a_large_value_are_not_split);
 	CPPUNIT_TEST(changes_beside_a_large_configuration_are_told_without_it);
-	CPPUNIT_TEST(routes_missed_are_had_although_all_other_changes_are_known);
-	CPPUNIT_TEST(backend_whose_entry_is_overwritten_by_another_writer_gets_nothing_and_leaves);
-	CPPUNIT_TEST(backend_whose_entry_is_written_anew_after_a_foreign_one_stays);
-	CPPUNIT_TEST(foreign_entry_that_comes_late_changes_nothing);
-	CPPUNIT_TEST(foreign_entries_in_a_copy_of_all_keys_leave_the_others);
-	CPPUNIT_TEST(backend_started_again_under_its_id_holds_nothing);
-	CPPUNIT_TEST(backend_started_again_is_not_charged_for_its_former_life);
-	CPPUNIT_TEST(backend_entry_of_a_former_life_moves_nothing);
-	CPPUNIT_TEST(requests_under_way_are_told_until_they_end);
-	CPPUNIT_TEST(backend_whose_clock_went_back_is_known_when_its_former_entry_is_over);
-	CPPUNIT_TEST(backend_lives_told_in_either_order_end_in_the_same_state);
+	CPPUNIT_TEST(routes_missed_are_sent_although_all_other_changes_are_known);
+	CPPUNIT_TEST(backend_with_entry_overwritten_by_foreign_writer_is_unusable_and_removed);
+	CPPUNIT_TEST(backend_with_entry_rewritten_after_foreign_entry_stays);
+	CPPUNIT_TEST(foreign_entry_with_older_revision_is_ignored);
+	CPPUNIT_TEST(foreign_entries_in_a_full_copy_leave_the_others_unchanged);
+	CPPUNIT_TEST(backend_restarted_under_its_id_has_no_former_load);
+	CPPUNIT_TEST(backend_restarted_is_not_charged_for_its_former_incarnation);
+	CPPUNIT_TEST(backend_entry_of_a_former_incarnation_is_ignored);
+	CPPUNIT_TEST(requests_in_flight_are_reported_until_they_end);
+	CPPUNIT_TEST(backend_with_clock_set_back_is_applied_once_its_former_entry_expires);
+	CPPUNIT_TEST(backend_incarnations_in_any_order_produce_the_same_state);
 	CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -189,14 +193,14 @@
 		m_replica->tick();
 	}
 
-	void routes_invalid_keeps_the_last_good_ones()
+	void routes_invalid_keep_the_last_valid_ones()
 	{
 		put("routes", "3", 1);
 		put("routes", "bad", 2);
 		CPPUNIT_ASSERT(std::vector<std::uint64_t>{3} == m_versions);
 	}
 
-	void backend_draining_is_seen_at_once()
+	void backend_draining_takes_effect_at_once()
 	{
 		put("backend/b1", "ready", 1);
 		CPPUNIT_ASSERT(m_registry->find(backend_id("b1"))->usable(m_clock.steady()));
@@ -204,7 +208,7 @@
 		CPPUNIT_ASSERT(!m_registry->find(backend_id("b1"))->usable(m_clock.steady()));
 	}
 
-	void backend_vanished_is_removed_after_a_moment()
+	void backend_vanished_is_removed_after_delay()
 	{
 		put("backend/b1", "ready", 1);
 		remove("backend/b1", 2);
@@ -213,55 +217,55 @@
 		CPPUNIT_ASSERT(nullptr == m_registry->find(backend_id("b1")));
 	}
 
-	void backend_vanished_while_the_store_is_away_stays_until_the_store_is_back()
+	void backend_vanished_during_store_outage_stays_until_the_store_is_reachable()
 	{
 		put("backend/b1", "ready", 1);
-		m_replica->store_lost();
+		m_replica->on_store_unreachable();
 		remove("backend/b1", 2);
 		wait(3000);
 		CPPUNIT_ASSERT(nullptr != m_registry->find(backend_id("b1")));
-		m_replica->store_regained();
+		m_replica->on_store_reachable();
 		wait(1900);
 		CPPUNIT_ASSERT(nullptr != m_registry->find(backend_id("b1")));
 		wait(200);
 		CPPUNIT_ASSERT(nullptr == m_registry->find(backend_id("b1")));
 	}
 
-	/// A backend server that leaves without a word some time after an outage is bound by the drain like any.
-	void backend_vanished_after_the_store_came_back_leaves_within_the_drain_bound()
+	/// A backend server that vanishes some time after a store outage is subject to the usual drain limit.
+	void backend_vanished_after_store_outage_is_removed_within_the_drain_limit()
 	{
 		put("backend/b1", "ready", 1);
-		m_replica->store_lost();
+		m_replica->on_store_unreachable();
 		wait(4000);
-		m_replica->store_regained();
+		m_replica->on_store_reachable();
 		wait(1000);
 		remove("backend/b1", 2);
 		wait(1100);
 		CPPUNIT_ASSERT(nullptr == m_registry->find(backend_id("b1")));
 	}
 
-	void backend_vanished_before_the_store_was_lost_leaves_in_time()
+	void backend_vanished_before_store_outage_is_removed_in_time()
 	{
 		put("backend/b1", "ready", 1);
 		remove("backend/b1", 2);
 		wait(100);
-		m_replica->store_lost();
+		m_replica->on_store_unreachable();
 		wait(1000);
 		CPPUNIT_ASSERT(nullptr == m_registry->find(backend_id("b1")));
 	}
 
-	void backend_vanished_beside_a_single_failed_call_leaves_in_time()
+	void backend_vanished_after_a_single_failed_call_is_removed_in_time()
 	{
 		put("backend/b1", "ready", 1);
-		m_replica->store_lost();
+		m_replica->on_store_unreachable();
 		wait(100);
-		m_replica->store_regained();
+		m_replica->on_store_reachable();
 		remove("backend/b1", 2);
 		wait(1100);
 		CPPUNIT_ASSERT(nullptr == m_registry->find(backend_id("b1")));
 	}
 
-	void backend_that_comes_back_is_not_removed()
+	void backend_that_returns_is_not_removed()
 	{
 		put("backend/b1", "ready", 1);
 		remove("backend/b1", 2);
@@ -278,8 +282,8 @@
 		CPPUNIT_ASSERT(nullptr != m_registry->find(backend_id("b1")));
 	}
 
-	/// Two nodes tell of changes; what one tells may overtake the other.
-	void backend_older_state_after_its_delete_is_passed_over()
+	/// Changes arrive from two nodes, so that a delete may overtake an older value of the same key.
+	void backend_older_value_after_its_delete_is_ignored()
 	{
 		put("backend/b1", "ready", 5);
 		m_replica->apply(store_changes{8, false, watch_batch{{}, {{"backend/b1", 9}}, 9}});
@@ -289,7 +293,7 @@
 		CPPUNIT_ASSERT(nullptr == m_registry->find(backend_id("b1")));
 	}
 
-	void evacuation_set_and_taken_back()
+	void evacuation_set_and_cleared()
 	{
 		put("backend/b1", "ready", 1);
 		put("evacuate/east-a", "", 2);
@@ -298,7 +302,7 @@
 		CPPUNIT_ASSERT(m_registry->find(backend_id("b1"))->usable(m_clock.steady()));
 	}
 
-	void older_change_is_passed_over()
+	void older_change_is_ignored()
 	{
 		put("backend/b1", "draining", 5);
 		put("backend/b1", "ready", 4);
@@ -308,7 +312,7 @@
 		CPPUNIT_ASSERT(nullptr != m_registry->find(backend_id("b1")));
 	}
 
-	void changes_of_another_node_bring_the_same_state()
+	void changes_from_another_node_produce_the_same_state()
 	{
 		put("routes", "3", 1);
 		put("backend/b1", "ready", 2);
@@ -326,7 +330,7 @@
 		CPPUNIT_ASSERT(nullptr == registry->find(backend_id("b2")));
 	}
 
-	void changes_with_a_gap_are_taken_and_leave_the_revision()
+	void changes_after_a_gap_are_applied_and_keep_the_revision()
 	{
 		put("backend/b1", "ready", 2);
 		store_changes changes;
@@ -335,7 +339,7 @@
 		CPPUNIT_ASSERT(!m_replica->apply(changes));
 		CPPUNIT_ASSERT(nullptr != m_registry->find(backend_id("b2")));
 		CPPUNIT_ASSERT_EQUAL(std::int64_t(2), m_replica->revision());
-		// What was missing comes later and changes nothing that is newer.
+		// The missing change arrives later and does not overwrite newer values.
 		store_changes missing;
 		missing.after = 2;
 		missing.batch = {{item("backend/b1", "draining", 3)}, {}, 4};
@@ -345,7 +349,7 @@
 		CPPUNIT_ASSERT_EQUAL(std::int64_t(4), m_replica->revision());
 	}
 
-	void changes_for_a_node_that_has_the_routes_leave_them_out()
+	void changes_omit_routes_that_the_requester_has()
 	{
 		put("backend/b1", "ready", 1);
 		put("routes", "3", 2);
@@ -359,7 +363,7 @@
 		CPPUNIT_ASSERT_EQUAL(std::size_t(2), m_replica->changes_after(0, 1).batch.puts.size());
 	}
 
-	void changes_too_old_are_told_whole()
+	void changes_since_a_forgotten_revision_are_a_full_copy()
 	{
 		std::int64_t revision = 0;
 		for (int i = 0; i < 600; ++i)
@@ -371,120 +375,123 @@
 		CPPUNIT_ASSERT(!m_replica->changes_after(revision - 20).whole);
 	}
 
-	/// Takes pages until there are no more, or so many.
-	static void take_pages(const state_replica& _giver, state_replica& _taker, int _most = 1000)
+	/// Copies at most _max_pages pages from one replica to another, until the copy is complete.
+	static void fetch_pages(const state_replica& _source, state_replica& _destination, int _max_pages = 1000)
 	{
-		_taker.begin_copy();
-		for (int i = 0; i < _most && _taker.copied_up_to(); ++i)
+		_destination.begin_copy();
+		for (int i = 0; i < _max_pages && _destination.copy_position(); ++i)
 		{
-			const std::string after = *_taker.copied_up_to();
-			result<state_page> page = decode_state_page(encode(_giver.page_after(after, 100)), after);
+			const std::string after = *_destination.copy_position();
+			result<state_page> page = decode_state_page(encode(_source.page_after(after, 100)), after);
 			CPPUNIT_ASSERT(nullptr != value_of(page));
-			_taker.take_page(*value_of(page));
+			_destination.apply_page(*value_of(page));
 		}
 	}
 
-	void put_many(int _from, int _to)
+	void put_many(int _begin, int _end)
 	{
-		for (int i = _from; i < _to; ++i)
+		for (int i = _begin; i < _end; ++i)
 		{
 			put("backend/b" + std::to_string(100 + i), "ready", ++m_last_revision);
 		}
 	}
 
-	void copy_in_pages_of_several_nodes_is_the_same_state()
+	void copy_from_pages_of_several_nodes_produces_the_same_state()
 	{
 		put("routes", "3", ++m_last_revision);
 		put_many(0, 50);
 		const auto registry = make_registry();
-		const auto giver = make_replica(*registry);
-		take_pages(*m_replica, *giver);
+		const auto source = make_replica(*registry);
+		fetch_pages(*m_replica, *source);
 		CPPUNIT_ASSERT_EQUAL(std::size_t(50), registry->size());
-		CPPUNIT_ASSERT_EQUAL(m_replica->revision(), giver->revision());
-		CPPUNIT_ASSERT_EQUAL(std::int64_t(1), giver->routes_revision());
+		CPPUNIT_ASSERT_EQUAL(m_replica->revision(), source->revision());
+		CPPUNIT_ASSERT_EQUAL(std::int64_t(1), source->routes_revision());
 		const auto other_registry = make_registry();
-		const auto taker = make_replica(*other_registry);
-		take_pages(*giver, *taker, 3);
-		CPPUNIT_ASSERT_EQUAL(std::int64_t(0), taker->revision());
-		take_pages(*m_replica, *taker);
+		const auto destination = make_replica(*other_registry);
+		fetch_pages(*source, *destination, 3);
+		CPPUNIT_ASSERT_EQUAL(std::int64_t(0), destination->revision());
+		fetch_pages(*m_replica, *destination);
 		CPPUNIT_ASSERT_EQUAL(std::size_t(50), other_registry->size());
-		CPPUNIT_ASSERT_EQUAL(m_replica->revision(), taker->revision());
+		CPPUNIT_ASSERT_EQUAL(m_replica->revision(), destination->revision());
 	}
 
-	void copy_that_broke_off_goes_on_behind_its_last_key()
+	void copy_interrupted_resumes_after_its_last_key()
 	{
 		put_many(0, 50);
 		const auto registry = make_registry();
-		const auto taker = make_replica(*registry);
-		take_pages(*m_replica, *taker, 2);
-		const std::string before = *taker->copied_up_to();
-		taker->begin_copy();
-		CPPUNIT_ASSERT_EQUAL(before, *taker->copied_up_to());
-		taker->replace({item("backend/b100", "ready", 1)}, 90); // Somebody read the store meanwhile.
-		CPPUNIT_ASSERT(!taker->copied_up_to());
+		const auto destination = make_replica(*registry);
+		fetch_pages(*m_replica, *destination, 2);
+		const std::string before = *destination->copy_position();
+		destination->begin_copy();
+		CPPUNIT_ASSERT_EQUAL(before, *destination->copy_position());
+		destination->replace(
+		    {item("backend/b100", "ready", 1)}, 90); // This node has read the store meanwhile.
+		CPPUNIT_ASSERT(!destination->copy_position());
 		m_clock.advance(std::chrono::milliseconds(600));
-		taker->tick();
+		destination->tick();
 		CPPUNIT_ASSERT_EQUAL(std::size_t(1), registry->size());
 	}
 
-	/// While pages come, a key of an early page changes, one of a late page comes, and one is deleted.
-	void copy_of_older_pages_is_completed_by_the_changes_behind_them()
+	/// Between two pages, a key of the first page changes, a key is deleted and keys of a later page are
+	/// added.
+	void copy_of_older_pages_is_completed_by_later_changes()
 	{
 		put_many(0, 50);
 		const auto registry = make_registry();
-		const auto taker = make_replica(*registry);
-		take_pages(*m_replica, *taker, 2);
+		const auto destination = make_replica(*registry);
+		fetch_pages(*m_replica, *destination, 2);
 		const std::int64_t first_revision = m_last_revision;
 		put("backend/b100", "draining", ++m_last_revision);
 		remove("backend/b101", ++m_last_revision);
 		put_many(50, 52);
-		take_pages(*m_replica, *taker);
-		CPPUNIT_ASSERT_EQUAL(first_revision, taker->revision());
-		CPPUNIT_ASSERT(taker->apply(m_replica->changes_after(taker->revision())));
-		CPPUNIT_ASSERT_EQUAL(m_replica->revision(), taker->revision());
+		fetch_pages(*m_replica, *destination);
+		CPPUNIT_ASSERT_EQUAL(first_revision, destination->revision());
+		CPPUNIT_ASSERT(destination->apply(m_replica->changes_after(destination->revision())));
+		CPPUNIT_ASSERT_EQUAL(m_replica->revision(), destination->revision());
 		CPPUNIT_ASSERT(registry->find(backend_id("b100"))->registered.draining);
 		m_clock.advance(std::chrono::milliseconds(600));
-		taker->tick();
+		destination->tick();
 		CPPUNIT_ASSERT(nullptr == registry->find(backend_id("b101")));
 		CPPUNIT_ASSERT_EQUAL(std::size_t(51), registry->size());
 	}
 
-	void copy_takes_away_what_is_gone()
+	void copy_removes_missing_keys()
 	{
 		put_many(0, 20);
 		const auto registry = make_registry();
-		const auto taker = make_replica(*registry);
-		taker->apply(watch_batch{{item("backend/b9", "ready", 1)}, {}, 1});
-		take_pages(*m_replica, *taker);
+		const auto destination = make_replica(*registry);
+		destination->apply(watch_batch{{item("backend/b9", "ready", 1)}, {}, 1});
+		fetch_pages(*m_replica, *destination);
 		m_clock.advance(std::chrono::milliseconds(600));
-		taker->tick();
+		destination->tick();
 		CPPUNIT_ASSERT(nullptr == registry->find(backend_id("b9")));
 		CPPUNIT_ASSERT_EQUAL(std::size_t(20), registry->size());
 	}
 
-	void page_that_is_none_is_refused()
+	void page_invalid_is_rejected()
 	{
-		const auto refused = [](const state_page& _page, const std::string& _after)
+		const auto rejected = [](const state_page& _page, const std::string& _after)
 		{
 			const result<state_page> decoded = decode_state_page(encode(_page), _after);
 			return std::holds_alternative<error>(decoded);
 		};
-		CPPUNIT_ASSERT(!refused({5, true, {item("b", "x", 1), item("c", "x", 2)}}, "a"));
-		CPPUNIT_ASSERT(refused({5, true, {item("c", "x", 1), item("b", "x", 2)}}, "a")); // Out of order.
-		CPPUNIT_ASSERT(refused({5, true, {item("b", "x", 1)}}, "b"));                    // Told before.
-		CPPUNIT_ASSERT(refused({5, true, {}}, "a")); // It would never end.
-		CPPUNIT_ASSERT(refused({0, false, {item("b", "x", 1)}}, "a"));
+		CPPUNIT_ASSERT(!rejected({5, true, {item("b", "x", 1), item("c", "x", 2)}}, "a"));
+		CPPUNIT_ASSERT(
+		    rejected({5, true, {item("c", "x", 1), item("b", "x", 2)}}, "a")); // Keys out of order.
+		CPPUNIT_ASSERT(rejected({5, true, {item("b", "x", 1)}}, "b"));         // A key that was sent before.
+		CPPUNIT_ASSERT(rejected({5, true, {}}, "a")); // An empty page would make the copy endless.
+		CPPUNIT_ASSERT(rejected({0, false, {item("b", "x", 1)}}, "a"));
 		const std::vector<std::uint8_t> bytes = encode(state_page{5, false, {item("b", "x", 1)}});
 		for (std::size_t size = 0; size < bytes.size(); ++size)
 		{
-			const std::vector<std::uint8_t> cut_short(bytes.begin(), bytes.begin() + static_cast<long>(size));
-			CPPUNIT_ASSERT(std::holds_alternative<error>(decode_state_page(cut_short, "")));
+			const std::vector<std::uint8_t> truncated(bytes.begin(), bytes.begin() + static_cast<long>(size));
+			CPPUNIT_ASSERT(std::holds_alternative<error>(decode_state_page(truncated, "")));
 		}
 		CPPUNIT_ASSERT(
 		    std::holds_alternative<error>(decode_state_page(encode(m_replica->changes_after(0)), "")));
 	}
 
-	void packed_bytes_are_unpacked_and_bounded()
+	void deflated_bytes_are_inflated_up_to_the_limit()
 	{
 		for (const std::size_t size : {std::size_t(0), std::size_t(1), std::size_t(300000)})
 		{
@@ -505,38 +512,38 @@
 		CPPUNIT_ASSERT(std::holds_alternative<error>(inflate_bytes("no packed bytes", 1000)));
 	}
 
-	/// A third of a region asks for the same changes after an announcement.
-	void changes_asked_for_by_many_are_packed_once()
+	/// After an announcement, a third of a region requests the same changes.
+	void changes_requested_by_many_are_compressed_once()
 	{
-		packed_changes answers;
+		packed_change_cache answers;
 		int made = 0;
 		const auto make = [&made]
 		{
 			++made;
 			return std::string("packed");
 		};
-		for (int asker = 0; asker < 110; ++asker)
+		for (int i = 0; i < 110; ++i)
 		{
 			CPPUNIT_ASSERT_EQUAL(std::string("packed"), answers.get("5,0", 9, make));
-			answers.get(asker % 2 == 0 ? "4,0" : "5,2", 9, make);
+			answers.get(i % 2 == 0 ? "4,0" : "5,2", 9, make);
 		}
 		CPPUNIT_ASSERT_EQUAL(3, made);
 		answers.get("5,0", 10, make); // The keys have changed.
 		CPPUNIT_ASSERT_EQUAL(4, made);
 		for (int i = 0; i < 1000; ++i)
 		{
-			answers.get(std::to_string(i), 10, make); // Nothing grows with what is asked.
+			answers.get(std::to_string(i), 10, make); // The cache is bounded: no response is kept for long.
 		}
 		CPPUNIT_ASSERT_EQUAL(1004, made);
 	}
 
-	void pages_asked_for_by_many_are_packed_once_and_forgotten()
+	void pages_requested_by_many_are_compressed_once_and_expire()
 	{
 		put_many(0, 50);
-		packed_pages pages;
+		packed_page_cache pages;
 		const std::string first = pages.get("", *m_replica, m_clock.steady());
 		put("backend/b100", "draining", ++m_last_revision);
-		// The kept page is a little behind; whoever takes it asks for the changes behind it.
+		// The cached page lags slightly; a node that takes the page requests the later changes afterwards.
 		CPPUNIT_ASSERT_EQUAL(first, pages.get("", *m_replica, m_clock.steady()));
 		pages.tick(m_clock.steady() + std::chrono::seconds(3));
 		CPPUNIT_ASSERT(first != pages.get("", *m_replica, m_clock.steady()));
@@ -544,7 +551,7 @@
 		CPPUNIT_ASSERT(!text_of_hex("0g") && !text_of_hex("0"));
 	}
 
-	void changes_split_and_joined_are_the_same()
+	void changes_split_and_joined_are_unchanged()
 	{
 		store_changes changes;
 		changes.after = 10;
@@ -573,8 +580,9 @@
 		CPPUNIT_ASSERT_EQUAL(std::size_t(1), parts.back().batch.deletes.size());
 	}
 
-	/// A node that gets the first parts only must ask for what the lost ones told.
-	void changes_split_part_tells_all_deletes_up_to_its_revision()
+	/// A node that loses later parts must still request their changes, so each part has only the deletes of
+	/// its own range of revisions.
+	void changes_split_part_has_only_deletes_of_its_revisions()
 	{
 		store_changes changes;
 		changes.after = 10;
@@ -601,7 +609,7 @@
 		CPPUNIT_ASSERT(split_for_datagrams(changes).empty());
 	}
 
-	/// A backend server that leaves while a large configuration is on its way.
+	/// A backend server starts to drain while a large configuration is being distributed.
 	void changes_beside_a_large_configuration_are_told_without_it()
 	{
 		put("backend/b1", "ready", 1);
@@ -619,7 +627,7 @@
 		CPPUNIT_ASSERT(!take_out_if_large(changes.batch, "routes"));
 	}
 
-	void routes_missed_are_had_although_all_other_changes_are_known()
+	void routes_missed_are_sent_although_all_other_changes_are_known()
 	{
 		put("routes", "3", 1);
 		put("backend/b1", "draining", 2);
@@ -640,7 +648,7 @@
 		return backend && backend->usable(m_clock.steady());
 	}
 
-	void backend_whose_entry_is_overwritten_by_another_writer_gets_nothing_and_leaves()
+	void backend_with_entry_overwritten_by_foreign_writer_is_unusable_and_removed()
 	{
 		put("backend/b1", "ready", 1);
 		put("backend/b2", "ready", 2);
@@ -652,7 +660,7 @@
 		CPPUNIT_ASSERT_EQUAL(std::int64_t(3), m_replica->revision());
 	}
 
-	void backend_whose_entry_is_written_anew_after_a_foreign_one_stays()
+	void backend_with_entry_rewritten_after_foreign_entry_stays()
 	{
 		put("backend/b1", "ready", 1);
 		put("backend/b1", "foreign", 2);
@@ -662,7 +670,7 @@
 		CPPUNIT_ASSERT(is_usable("b1"));
 	}
 
-	void foreign_entry_that_comes_late_changes_nothing()
+	void foreign_entry_with_older_revision_is_ignored()
 	{
 		put("backend/b1", "ready", 5);
 		put("backend/b1", "foreign", 4);
@@ -670,7 +678,7 @@
 		CPPUNIT_ASSERT(is_usable("b1"));
 	}
 
-	void foreign_entries_in_a_copy_of_all_keys_leave_the_others()
+	void foreign_entries_in_a_full_copy_leave_the_others_unchanged()
 	{
 		m_replica->replace(
 		    {item("backend/b0", "foreign", 1), item("backend/b1", "ready", 2), item("odd", "\xff", 3),
@@ -678,16 +686,16 @@
 		    5);
 		CPPUNIT_ASSERT_EQUAL(std::size_t(2), m_registry->size());
 		CPPUNIT_ASSERT(is_usable("b1") && is_usable("b4"));
-		// And so it is told to other nodes.
+		// Other nodes get the same keys and skip the foreign entries as well.
 		const auto registry = make_registry();
 		const auto other = make_replica(*registry);
 		const std::vector<std::uint8_t> bytes = encode(m_replica->changes_after(0));
-		result<store_changes> told = decode_store_changes(bytes.data(), bytes.size());
-		CPPUNIT_ASSERT(other->apply(*value_of(told)));
+		result<store_changes> decoded = decode_store_changes(bytes.data(), bytes.size());
+		CPPUNIT_ASSERT(other->apply(*value_of(decoded)));
 		CPPUNIT_ASSERT_EQUAL(std::size_t(2), registry->size());
 	}
 
-	void backend_started_again_under_its_id_holds_nothing()
+	void backend_restarted_under_its_id_has_no_former_load()
 	{
 		put("backend/b1", "ready@1000", 1);
 		const backend_ptr former = m_registry->find(backend_id("b1"));
@@ -700,11 +708,12 @@
 		CPPUNIT_ASSERT(is_usable("b1"));
 		CPPUNIT_ASSERT_EQUAL(0, now->load.in_flight);
 		CPPUNIT_ASSERT_EQUAL(std::size_t(1), m_registry->of_service(service_name("shop")).size());
-		--former->load.in_flight; // An exchange with the former life ends: the new one is not charged.
+		--former->load
+		      .in_flight; // A request to the former incarnation ends; the new incarnation's count stays.
 		CPPUNIT_ASSERT_EQUAL(0, now->load.in_flight);
 	}
 
-	void backend_started_again_is_not_charged_for_its_former_life()
+	void backend_restarted_is_not_charged_for_its_former_incarnation()
 	{
 		put("backend/b1", "ready@1000", 1);
 		const backend_ptr former = m_registry->find(backend_id("b1"));
@@ -714,14 +723,14 @@
 		put("backend/b1", "ready@2000", 2);
 		const backend_ptr now = m_registry->find(backend_id("b1"));
 		CPPUNIT_ASSERT_EQUAL(0, now->load.in_flight_elsewhere);
-		// The other node has not heard of the new life yet; then it has.
+		// First n2 still reports the former incarnation, then the new one.
 		m_registry->set_in_flight_of_node(node_name("n2"), of_former);
 		CPPUNIT_ASSERT_EQUAL(0, now->load.in_flight_elsewhere);
 		m_registry->set_in_flight_of_node(node_name("n2"), {{now->id_hash, 2}});
 		CPPUNIT_ASSERT_EQUAL(2, now->load.in_flight_elsewhere);
 	}
 
-	void requests_under_way_are_told_until_they_end()
+	void requests_in_flight_are_reported_until_they_end()
 	{
 		put("backend/b1", "ready", 1);
 		put("backend/b2", "ready", 2);
@@ -743,19 +752,19 @@
 		CPPUNIT_ASSERT(m_registry->own_in_flight().empty());
 	}
 
-	void backend_entry_of_a_former_life_moves_nothing()
+	void backend_entry_of_a_former_incarnation_is_ignored()
 	{
 		put("backend/b1", "ready@2000", 1);
 		const backend_ptr known = m_registry->find(backend_id("b1"));
-		put("backend/b1", "draining@1000", 2); // Written late.
+		put("backend/b1", "draining@1000", 2); // The former incarnation's entry is written late.
 		CPPUNIT_ASSERT(is_usable("b1"));
 		wait(3000);
-		put("backend/b1", "ready@2000", 3); // The live one writes again, at its heartbeat.
+		put("backend/b1", "ready@2000", 3); // The live incarnation renews its entry.
 		wait(20000);
 		CPPUNIT_ASSERT(is_usable("b1") && known == m_registry->find(backend_id("b1")));
 	}
 
-	void backend_whose_clock_went_back_is_known_when_its_former_entry_is_over()
+	void backend_with_clock_set_back_is_applied_once_its_former_entry_expires()
 	{
 		put("backend/b1", "draining@2000", 1);
 		put("backend/b1", "ready@1000", 2);
@@ -763,7 +772,7 @@
 		CPPUNIT_ASSERT(!is_usable("b1"));
 		wait(200);
 		CPPUNIT_ASSERT(is_usable("b1"));
-		// At once when the former entry is seen to go.
+		// The new entry is applied at once if the former entry was seen to vanish.
 		put("backend/b2", "draining@2000", 3);
 		remove("backend/b2", 4);
 		wait(600);
@@ -771,9 +780,9 @@
 		CPPUNIT_ASSERT(is_usable("b2"));
 	}
 
-	void backend_lives_told_in_either_order_end_in_the_same_state()
+	void backend_incarnations_in_any_order_produce_the_same_state()
 	{
-		const std::vector<store_value> lives{item("backend/b1", "ready@1000", 1),
+		const std::vector<store_value> entries{item("backend/b1", "ready@1000", 1),
 		    item("backend/b1", "draining@3000", 2), item("backend/b1", "ready@2000", 3)};
 		std::vector<std::size_t> order{0, 1, 2};
 		do
@@ -781,7 +790,7 @@
 			setUp();
 			for (const std::size_t which : order)
 			{
-				m_replica->apply(watch_batch{{lives[which]}, {}, lives[which].mod_revision});
+				m_replica->apply(watch_batch{{entries[which]}, {}, entries[which].mod_revision});
 			}
 			wait(9100);
 			CPPUNIT_ASSERT(is_usable("b1"));
