--- a/src/entry_node/answer_words.cpp
+++ b/src/entry_node/answer_words.cpp
@@ -32,7 +32,7 @@
 	return std::nullopt;
 }
 
-std::optional<limit_word> parse_limit_header(
+std::optional<limit_report> parse_limit_header(
     const message_header& _head, const header_names& _names, bool _ran, steady_time _now)
 {
 	const auto named = _head.find(_names.limit);
@@ -40,7 +40,7 @@
 	{
 		return parse_limit(to_view(named->value()), _now);
 	}
-	return _ran ? std::optional<limit_word>(limit_word{std::nullopt, _now}) : std::nullopt;
+	return _ran ? std::optional<limit_report>(limit_report{std::nullopt, _now}) : std::nullopt;
 }
 
 /// @returns The longest pause of all Retry-After headers of a response.
--- a/src/entry_node/answer_words_p.h
+++ b/src/entry_node/answer_words_p.h
@@ -31,7 +31,7 @@
 struct answer_words
 {
 	std::optional<backend_load> load;
-	std::optional<limit_word> limit;           ///< The limit from now on, or that there is no limit any more.
+	std::optional<limit_report> limit;         ///< The limit from now on, or that there is no limit any more.
 	std::optional<steady_time::duration> rest; ///< Pause: no requests from this node for that long.
 	bool leaving = false;                      ///< The backend server is about to shut down.
 };
--- a/src/entry_node/backend_limits.cpp
+++ b/src/entry_node/backend_limits.cpp
@@ -58,7 +58,7 @@
 		return quota_answer::granted;
 	}
 	quota_answer answer = m_tokens.take(*subject);
-	if (quota_answer::waits == answer && 0 == holders_of(subject->id).first.name_hash)
+	if (quota_answer::waits == answer && 0 == responsible_for(subject->id).first.name_hash)
 	{
 		answer = quota_answer::unknown; // No node of the backend server's region is reachable.
 	}
@@ -91,19 +91,20 @@
 	{
 		return std::nullopt;
 	}
-	return subject_of(_id, *backend->limit.word().per_s);
+	return limit_quota_subject(_id, *backend->limit.word().per_s);
 }
 
-quota_holders backend_limits::holders_of(std::uint64_t _id) const
+responsible_nodes backend_limits::responsible_for(std::uint64_t _id) const
 {
 	const backend_server* backend = m_backends.find_instance(static_cast<std::uint32_t>(_id));
-	return nullptr == backend ? quota_holders()
-	                          : m_fleet.holders_in(backend->region, ring_place(backend->id_hash));
+	return nullptr == backend
+	           ? responsible_nodes()
+	           : m_fleet.responsible_in_region(backend->region, ring_position(backend->id_hash));
 }
 
 bool backend_limits::is_lender(std::uint32_t _instance) const
 {
-	const quota_holder lender = holders_of(_instance).first;
+	const responsible_node lender = responsible_for(_instance).first;
 	return 0 != lender.name_hash && lender.ip.empty();
 }
 
@@ -128,13 +129,13 @@
 	}
 }
 
-void backend_limits::on_word(backend_server& _backend, const limit_word& _limit)
+void backend_limits::on_word(backend_server& _backend, const limit_report& _limit)
 {
 	if (!apply_limit(_backend, _limit))
 	{
 		return;
 	}
-	const quota_holder lender = holders_of(_backend.id_hash).first;
+	const responsible_node lender = responsible_for(_backend.id_hash).first;
 	if (!lender.ip.empty())
 	{
 		send_limit(_backend, lender.ip);
@@ -142,9 +143,9 @@
 	announce_limit(_backend);
 }
 
-bool backend_limits::apply_limit(backend_server& _backend, const limit_word& _limit)
+bool backend_limits::apply_limit(backend_server& _backend, const limit_report& _limit)
 {
-	const limit_word before = _backend.limit.word();
+	const limit_report before = _backend.limit.word();
 	if (!_backend.limit.hear(_limit))
 	{
 		return false;
@@ -157,9 +158,9 @@
 	return true;
 }
 
-void backend_limits::log_change(const backend_server& _backend, const limit_word& _before)
+void backend_limits::log_change(const backend_server& _backend, const limit_report& _before)
 {
-	const limit_word& now = _backend.limit.word();
+	const limit_report& now = _backend.limit.word();
 	const char* state = !_before.per_s ? "begins" : now.per_s ? "changes" : "ends";
 	m_log.write(log_line(event::backend_limited)
 	                .text("backend", _backend.registered.id.text)
@@ -170,7 +171,8 @@
 
 bool backend_limits::is_announcer(std::uint32_t _instance) const
 {
-	const quota_holder announcer = m_fleet.holders_in(m_region, ring_place(_instance)).first;
+	const responsible_node announcer =
+	    m_fleet.responsible_in_region(m_region, ring_position(_instance)).first;
 	return 0 != announcer.name_hash && announcer.ip.empty();
 }
 
@@ -199,7 +201,8 @@
 	}
 	for (const region_name& region : m_backends.regions())
 	{
-		const quota_holder announcer = m_fleet.holders_in(region, ring_place(_backend.id_hash)).first;
+		const responsible_node announcer =
+		    m_fleet.responsible_in_region(region, ring_position(_backend.id_hash)).first;
 		if (!announcer.ip.empty())
 		{
 			send_limit(_backend, announcer.ip);
@@ -247,8 +250,8 @@
 
 void backend_limits::tick()
 {
-	const nodes_in_sight nodes = m_fleet.in_sight_of_region();
-	m_tokens.tick({lending_nodes(nodes.live, nodes.most), nodes.most, nodes.version});
+	const live_node_counts nodes = m_fleet.live_nodes_of_region();
+	m_tokens.tick({lender_node_count(nodes.live, nodes.most), nodes.most, nodes.version});
 	for (auto it = m_announced.begin(); it != m_announced.end();)
 	{
 		const backend_server* backend = m_backends.find_instance(it->first);
--- a/src/entry_node/backend_limits_p.h
+++ b/src/entry_node/backend_limits_p.h
@@ -39,7 +39,7 @@
 	/// Returns the token of a request that was not sent to the backend server.
 	virtual void give_back(const backend_state& _backend) = 0;
 	/// Processes the limit that a backend server reported with a response to this node.
-	virtual void on_word(backend_server& _backend, const limit_word& _limit) = 0;
+	virtual void on_word(backend_server& _backend, const limit_report& _limit) = 0;
 };
 
 /// Limits of backend servers, shared by all nodes.
@@ -54,7 +54,7 @@
 	quota_answer take(const backend_state& _backend) override;
 	void wait_for_token(const backend_state& _backend, handler _decided) override;
 	void give_back(const backend_state& _backend) override;
-	void on_word(backend_server& _backend, const limit_word& _limit) override;
+	void on_word(backend_server& _backend, const limit_report& _limit) override;
 	/// Processes a message of another node.
 	void on_message(const limit_message& _message, const std::string& _sender_ip);
 	/// Must be called periodically.
@@ -80,7 +80,7 @@
 	};
 
 	std::optional<quota_subject> find_subject(std::uint64_t _id) const override;
-	quota_holders holders_of(std::uint64_t _id) const override;
+	responsible_nodes responsible_for(std::uint64_t _id) const override;
 	/// @returns Whether this node is the first lender of the limit of a backend server instance.
 	bool is_lender(std::uint32_t _instance) const;
 	/// @returns Whether this node announces the limit of a backend server instance to its region; in the
@@ -93,8 +93,8 @@
 	}
 	/// Applies a reported limit: logs a change and scales down the tokens at hand when the limit decreased.
 	/// @returns Whether the limit changed.
-	bool apply_limit(backend_server& _backend, const limit_word& _limit);
-	void log_change(const backend_server& _backend, const limit_word& _before);
+	bool apply_limit(backend_server& _backend, const limit_report& _limit);
+	void log_change(const backend_server& _backend, const limit_report& _before);
 	/// If this node is the announcer of its region, informs the region of a limit that differs noticeably
 	/// from the announced one. A lender informs the announcers of the other regions too.
 	void announce_limit(const backend_server& _backend);
--- a/src/entry_node/backend_registry.cpp
+++ b/src/entry_node/backend_registry.cpp
@@ -42,7 +42,7 @@
 backend_ptr backend_registry::add_instance(const backend_record& _record)
 {
 	auto backend = std::make_shared<backend_server>();
-	backend->id_hash = life_hash(_record);
+	backend->id_hash = incarnation_hash(_record);
 	m_by_hash[backend->id_hash] = backend.get();
 	const auto region = m_region_of.find(_record.domain.text);
 	backend->region = m_region_of.end() == region ? region_name() : region_name(region->second);
@@ -63,7 +63,8 @@
 void backend_registry::put(const backend_record& _record, steady_time _now)
 {
 	backend_ptr& backend = m_by_id[_record.id];
-	if (backend && entry_life::same != life_of_entry(backend->registered.born_ms, _record.born_ms))
+	if (backend &&
+	    entry_incarnation::same != classify_entry(backend->registered.started_ms, _record.started_ms))
 	{
 		remove_instance(*backend);
 		backend.reset();
@@ -181,12 +182,12 @@
 	    }));
 }
 
-std::size_t backend_registry::said_leaving() const
+std::size_t backend_registry::reported_leaving() const
 {
 	return static_cast<std::size_t>(std::count_if(m_by_id.begin(), m_by_id.end(),
 	    [](const auto& _entry)
 	    {
-		    return _entry.second->said_leaving;
+		    return _entry.second->reported_leaving;
 	    }));
 }
 
--- a/src/entry_node/backend_registry_p.h
+++ b/src/entry_node/backend_registry_p.h
@@ -111,14 +111,14 @@
 	{
 		return m_regions;
 	}
-	/// @param[in] _hash life_hash() of an instance of a backend server.
+	/// @param[in] _hash incarnation_hash() of an instance of a backend server.
 	/// @returns The backend server, or null when there is none.
 	backend_server* find_instance(std::uint32_t _hash) const;
 	/// @returns Number of backend servers that report a limit; linear in the number of backend servers.
 	std::size_t limited() const;
 	/// @returns Number of backend servers that announced their shutdown in a response; linear in the number
 	/// of backend servers.
-	std::size_t said_leaving() const;
+	std::size_t reported_leaving() const;
 	std::size_t size() const
 	{
 		return m_by_id.size();
--- a/src/entry_node/backend_words.cpp
+++ b/src/entry_node/backend_words.cpp
@@ -65,11 +65,11 @@
 
 void backend_words::on_leaving(backend_server& _backend)
 {
-	if (_backend.said_leaving)
+	if (_backend.reported_leaving)
 	{
 		return;
 	}
-	_backend.said_leaving = true;
+	_backend.reported_leaving = true;
 	m_log.write(log_line(event::backend_leaving)
 	                .text("backend", _backend.registered.id.text)
 	                .text("service", _backend.registered.service.text));
--- a/src/entry_node/crash_guard.cpp
+++ b/src/entry_node/crash_guard.cpp
@@ -96,11 +96,11 @@
 void crash_guard::ask_for_look(
     const request_fingerprint& _request, const service_name& _service, look_handler _decided)
 {
-	const quota_holder counting_node = m_fleet.holders_of(_request.content).first;
+	const responsible_node counting_node = m_fleet.responsible_for(_request.content).first;
 	const std::uint32_t versions = versions_of(_service);
 	if (counting_node.ip.empty())
 	{
-		_decided(grant_look(_request, versions).has_value());
+		_decided(grant_trial(_request, versions).has_value());
 		return;
 	}
 	const auto [it, is_new] = m_pending_trials.try_emplace(_request);
@@ -122,10 +122,10 @@
 	send(look_request{_request, versions}, {counting_node.ip});
 }
 
-std::optional<request_block> crash_guard::grant_look(
+std::optional<request_block> crash_guard::grant_trial(
     const request_fingerprint& _request, std::uint32_t _versions)
 {
-	const std::optional<request_block> granted = m_blocked.grant_look(_request, _versions, m_clock.steady());
+	const std::optional<request_block> granted = m_blocked.grant_trial(_request, _versions, m_clock.steady());
 	if (granted)
 	{
 		announce(*granted);
@@ -148,13 +148,13 @@
 
 void crash_guard::on_look_returned(const request_fingerprint& _request)
 {
-	const quota_holder counting_node = m_fleet.holders_of(_request.content).first;
+	const responsible_node counting_node = m_fleet.responsible_for(_request.content).first;
 	if (!counting_node.ip.empty())
 	{
 		send(look_returned{_request}, {counting_node.ip});
 		return;
 	}
-	if (const auto returned = m_blocked.return_look(_request, m_clock.steady()))
+	if (const auto returned = m_blocked.return_trial(_request, m_clock.steady()))
 	{
 		announce(*returned);
 	}
@@ -225,13 +225,13 @@
 	}
 	const steady_time now = m_clock.steady();
 	const bool caller_only = has_no_body(_request) && m_served.has(_request.content, now);
-	m_observed.on_end(_request, {_instance, _request.caller, caller_only, now});
+	m_observed.on_crash(_request, {_instance, _request.caller, caller_only, now});
 	const end_report report{_request, _instance, caller_only};
 	send_to_counting_nodes(report, _request);
 	repeat(report, {}, k_report_repeats);
 }
 
-bool crash_guard::may_resend(const request_fingerprint& _request) const
+bool crash_guard::may_retry(const request_fingerprint& _request) const
 {
 	const auto suspected =
 	    static_cast<std::size_t>(std::count_if(m_suspected_crashes.begin(), m_suspected_crashes.end(),
@@ -240,7 +240,8 @@
 		        const std::vector<request_fingerprint>& requests = _entry.second.requests;
 		        return requests.end() != std::find(requests.begin(), requests.end(), _request);
 	        }));
-	return m_observed.ends_of(_request) + suspected < k_blamed_ends && nullptr == m_blocked.find(_request);
+	return m_observed.crash_count(_request) + suspected < k_crashes_to_block &&
+	       nullptr == m_blocked.find(_request);
 }
 
 bool crash_guard::was_served_recently(const request_fingerprint& _request) const
@@ -259,7 +260,7 @@
 	{
 		return;
 	}
-	const bool suspected = m_observed.ends_of(_request) > 0 || nullptr != m_blocked.find(_request);
+	const bool suspected = m_observed.crash_count(_request) > 0 || nullptr != m_blocked.find(_request);
 	m_observed.on_served(_request);
 	if (suspected)
 	{
@@ -269,7 +270,7 @@
 
 void crash_guard::count_crash(const end_report& _report)
 {
-	const std::optional<request_fingerprint> blamed = m_counted.on_end(
+	const std::optional<request_fingerprint> blamed = m_counted.on_crash(
 	    _report.request, {_report.life, _report.request.caller, _report.caller_only, m_clock.steady()});
 	if (blamed && nullptr == m_blocked.find(*blamed))
 	{
@@ -309,10 +310,10 @@
 	std::set<std::string> receivers;
 	for (const region_name& region : m_backends.regions())
 	{
-		const quota_holders holders = m_fleet.holders_in(region, place);
+		const responsible_nodes holders = m_fleet.responsible_in_region(region, place);
 		if (region != m_region)
 		{
-			receivers.insert({holders.first.ip, holders.stand_in.ip});
+			receivers.insert({holders.first.ip, holders.backup.ip});
 		}
 	}
 	receivers.erase(""); // No node of the region is reachable.
@@ -341,12 +342,12 @@
 
 void crash_guard::on_block_changed(const request_block& _block)
 {
-	const char* state = !_block.blocked ? "cleared" : _block.looks > 0 ? "looked_at" : "blocked";
+	const char* state = !_block.blocked ? "cleared" : _block.trials > 0 ? "looked_at" : "blocked";
 	m_log.write(log_line(event::request_blocked)
 	                .text("request", hex_of(_block.request))
 	                .text("state", state)
 	                .number("change", _block.number)
-	                .number("looks", _block.looks));
+	                .number("looks", _block.trials));
 	if (!_block.blocked)
 	{
 		m_observed.on_served(_block.request);
@@ -406,14 +407,14 @@
 	}
 	else if (const auto* update = std::get_if<block_news>(&_message))
 	{
-		if (apply_block(update->block) && update->tells_on)
+		if (apply_block(update->block) && update->forwards_changes)
 		{
 			send_to_region(update->block);
 		}
 	}
 	else if (const auto* asked = std::get_if<look_request>(&_message))
 	{
-		const bool granted = grant_look(asked->request, asked->versions).has_value();
+		const bool granted = grant_trial(asked->request, asked->versions).has_value();
 		send(look_answer{asked->request, granted}, {_sender_ip});
 	}
 	else if (const auto* answer = std::get_if<look_answer>(&_message))
@@ -422,7 +423,7 @@
 	}
 	else if (const auto* returned = std::get_if<look_returned>(&_message))
 	{
-		if (const auto block = m_blocked.return_look(returned->request, m_clock.steady()))
+		if (const auto block = m_blocked.return_trial(returned->request, m_clock.steady()))
 		{
 			announce(*block);
 		}
@@ -431,8 +432,8 @@
 
 void crash_guard::send_to_counting_nodes(const crash_message& _message, const request_fingerprint& _request)
 {
-	const quota_holders counting_nodes = m_fleet.holders_of(_request.content);
-	for (const quota_holder& node : {counting_nodes.first, counting_nodes.stand_in})
+	const responsible_nodes counting_nodes = m_fleet.responsible_for(_request.content);
+	for (const responsible_node& node : {counting_nodes.first, counting_nodes.backup})
 	{
 		if (0 == node.name_hash)
 		{
@@ -546,7 +547,7 @@
 	m_counted.tick(now);
 	for (const request_fingerprint& forgotten : m_blocked.tick(now))
 	{
-		if (m_fleet.holders_of(forgotten.content).first.ip.empty())
+		if (m_fleet.responsible_for(forgotten.content).first.ip.empty())
 		{
 			m_write({forgotten, false});
 		}
--- a/src/entry_node/crash_guard_p.h
+++ b/src/entry_node/crash_guard_p.h
@@ -68,7 +68,7 @@
 	/// Reports that the connection to a backend server broke with a request on it.
 	virtual void on_connection_broken(const backend_ptr& _backend, const request_fingerprint& _request) = 0;
 	/// @returns Whether a request whose connection broke may be sent to another backend server.
-	virtual bool may_resend(const request_fingerprint& _request) const = 0;
+	virtual bool may_retry(const request_fingerprint& _request) const = 0;
 	/// Reports that a backend server answered a request.
 	virtual void on_answered(const request_fingerprint& _request) = 0;
 };
@@ -105,7 +105,7 @@
 	    const request_fingerprint& _request, const service_name& _service, look_handler _decided) override;
 	void on_look_returned(const request_fingerprint& _request) override;
 	void on_connection_broken(const backend_ptr& _backend, const request_fingerprint& _request) override;
-	bool may_resend(const request_fingerprint& _request) const override;
+	bool may_retry(const request_fingerprint& _request) const override;
 	void on_answered(const request_fingerprint& _request) override;
 	void on_block(const request_block& _block) override;
 	void on_block_gone(const request_fingerprint& _request) override;
@@ -187,7 +187,7 @@
 	/// nodes.
 	void contest_if_served_recently(const request_block& _block);
 	void send_to_region(const request_block& _block);
-	std::optional<request_block> grant_look(const request_fingerprint& _request, std::uint32_t _versions);
+	std::optional<request_block> grant_trial(const request_fingerprint& _request, std::uint32_t _versions);
 	void finish_trial(const request_fingerprint& _request, bool _granted);
 	/// Sends a message to the two counting nodes of a request. If this node is one of them, it processes the
 	/// message immediately.
--- a/src/entry_node/crash_messages.cpp
+++ b/src/entry_node/crash_messages.cpp
@@ -40,8 +40,8 @@
 message_values values_of(const block_news& _update)
 {
 	const std::uint64_t flags =
-	    (_update.block.blocked ? k_blocked_bit : 0) | (_update.tells_on ? k_forward_bit : 0);
-	return {{flags, _update.block.number, _update.block.looks, _update.block.versions}};
+	    (_update.block.blocked ? k_blocked_bit : 0) | (_update.forwards_changes ? k_forward_bit : 0);
+	return {{flags, _update.block.number, _update.block.trials, _update.block.versions}};
 }
 
 message_values values_of(const look_request& _request)
--- a/src/entry_node/crash_messages_p.h
+++ b/src/entry_node/crash_messages_p.h
@@ -24,8 +24,8 @@
 struct end_report
 {
 	request_fingerprint request;
-	std::uint32_t life = 0;   ///< life_hash() of the backend server.
-	bool caller_only = false; ///< See backend_end::caller_only.
+	std::uint32_t life = 0;   ///< incarnation_hash() of the backend server.
+	bool caller_only = false; ///< See crash_record::caller_only.
 };
 
 /// To the counting nodes: a suspected request was served.
@@ -38,7 +38,7 @@
 struct block_news
 {
 	request_block block;
-	bool tells_on = false; ///< The receiver forwards the update to the nodes of its region.
+	bool forwards_changes = false; ///< The receiver forwards the update to the nodes of its region.
 };
 
 /// To the first counting node: asks whether a blocked request may be let through once, as a trial.
--- a/src/entry_node/customer_quotas.cpp
+++ b/src/entry_node/customer_quotas.cpp
@@ -53,7 +53,7 @@
 
 void customer_quotas::tick()
 {
-	m_tokens.tick(m_fleet.in_sight());
+	m_tokens.tick(m_fleet.live_nodes());
 	const steady_time now = m_clock.steady();
 	if (now - m_checked_at >= k_check_interval)
 	{
--- a/src/entry_node/customer_quotas_p.h
+++ b/src/entry_node/customer_quotas_p.h
@@ -77,9 +77,9 @@
 	};
 
 	std::optional<quota_subject> find_subject(std::uint64_t _id) const override;
-	quota_holders holders_of(std::uint64_t _id) const override
+	responsible_nodes responsible_for(std::uint64_t _id) const override
 	{
-		return m_fleet.holders_of(_id);
+		return m_fleet.responsible_for(_id);
 	}
 	void send(const quota_message& _message, const std::string& _ip) override
 	{
--- a/src/entry_node/entry_node_answers.cpp
+++ b/src/entry_node/entry_node_answers.cpp
@@ -159,7 +159,7 @@
 	gauge("rests_asked", "Answers of backend servers that asked for rest.",
 	    static_cast<double>(m_forwarder.words().rests_asked()));
 	gauge("leaving_backends", "Backend servers that said beside an answer that they leave.",
-	    static_cast<double>(m_backends.said_leaving()));
+	    static_cast<double>(m_backends.reported_leaving()));
 	gauge("blocked_requests",
 	    "Requests that are sent to no backend server, since some have ended under them.",
 	    static_cast<double>(m_crashes.blocked()));
--- a/src/entry_node/entry_node_copies.cpp
+++ b/src/entry_node/entry_node_copies.cpp
@@ -47,9 +47,9 @@
 		{
 			step = copy_step::from_anyone; // This node has older keys and need not read the store.
 		}
-		const bool may_ask = copy_step::wait != step && copy_step::from_store != step;
+		const bool may_request_trial = copy_step::wait != step && copy_step::from_store != step;
 		const node_heartbeat* source =
-		    may_ask ? m_fleet.choose_page_source(step, ++m_page_requests) : nullptr;
+		    may_request_trial ? m_fleet.choose_page_source(step, ++m_page_requests) : nullptr;
 		if (nullptr == source)
 		{
 			return; // The copy is resumed on a later heartbeat.
--- a/src/entry_node/entry_node_peers.cpp
+++ b/src/entry_node/entry_node_peers.cpp
@@ -102,8 +102,8 @@
 	result<node_heartbeat> decoded = decode_heartbeat(m_datagram_buffer.data(), _size);
 	if (const node_heartbeat* one = value_of(decoded))
 	{
-		const greeting due = m_fleet.hear(*one);
-		if (greeting::none != due)
+		const contact_reply due = m_fleet.hear(*one);
+		if (contact_reply::none != due)
 		{
 			refresh_heartbeat();
 			send_datagram(encode(m_fleet.greet(due, one->domain)), one->ip);
@@ -190,12 +190,12 @@
 	store_changes sent = _changes;
 	const bool routes_omitted = take_out_if_large(sent.batch, m_dialect.codec().routes_key());
 	const std::vector<store_changes> parts = split_for_datagrams(sent);
-	const telling method = plan_telling(parts.size(), m_fleet.is_large());
-	if (telling::datagrams == method)
+	const change_delivery method = choose_change_delivery(parts.size(), m_fleet.is_large());
+	if (change_delivery::datagrams == method)
 	{
 		send_changes(parts, m_fleet.change_receivers());
 	}
-	if (telling::announcement == method || routes_omitted)
+	if (change_delivery::announcement == method || routes_omitted)
 	{
 		send_heartbeat_to_region(); // The higher revision and version make the other nodes request the
 		                            // changes.
@@ -205,7 +205,7 @@
 void entry_node::send_heartbeat_to(const std::vector<std::string>& _addresses)
 {
 	refresh_heartbeat();
-	const std::vector<std::uint8_t> bytes = encode(m_fleet.greet(greeting::heartbeat));
+	const std::vector<std::uint8_t> bytes = encode(m_fleet.greet(contact_reply::heartbeat));
 	for (const std::string& ip : _addresses)
 	{
 		send_datagram(bytes, ip);
--- a/src/entry_node/fleet.cpp
+++ b/src/entry_node/fleet.cpp
@@ -69,7 +69,7 @@
 	for (auto& [name, domain] : m_domains)
 	{
 		in_region += proximity::far == domain.where ? 0 : domain.nodes;
-		domain.longest_silence = pace.longest_silence(domain.where, domain.nodes - 1);
+		domain.liveness_timeout = pace.liveness_timeout(domain.where, domain.nodes - 1);
 	}
 	m_census.on_seen(m_members.size() + 1, in_region);
 	m_live.outdated = true;
@@ -100,11 +100,11 @@
 	m_highest_config = std::max(m_highest_config, _live.config_version);
 }
 
-greeting fleet::hear(const node_heartbeat& _heartbeat)
+contact_reply fleet::hear(const node_heartbeat& _heartbeat)
 {
 	if (_heartbeat.node == m_self.node)
 	{
-		return greeting::none;
+		return contact_reply::none;
 	}
 	const steady_time now = m_clock.steady();
 	fleet_member& member = m_members[_heartbeat.node];
@@ -112,10 +112,10 @@
 	const bool is_unknown = nullptr == member.domain;
 	// Uses the time since the node's own heartbeats, since its neighbours may already report the incarnation
 	// that this heartbeat belongs to.
-	const auto longest = liveness().longest_own_silence(node_liveness::proximity_of(m_self, member.last));
+	const auto longest = liveness().direct_liveness_timeout(node_liveness::proximity_of(m_self, member.last));
 	if (node_liveness::outdated(_heartbeat, member.last, now - member.heard_at <= longest))
 	{
-		return greeting::none;
+		return contact_reply::none;
 	}
 	const proximity where = node_liveness::proximity_of(m_self, _heartbeat);
 	const bool moves = !is_unknown && member.last.domain != _heartbeat.domain;
@@ -128,8 +128,8 @@
 	member.last = _heartbeat;
 	member.heard_at = now;
 	m_last_heartbeat_at = now;
-	member.sign_at = now;
-	if (proximity::domain == where || !liveness().tells_by_digests())
+	member.last_seen_at = now;
+	if (proximity::domain == where || !liveness().sends_digests())
 	{
 		// Otherwise heartbeats are rarer than requests are long, and the counts would include requests that
 		// ended long ago.
@@ -145,22 +145,22 @@
 	}
 	raise_known_revisions(member.last);
 	apply_neighbour_reports(_heartbeat);
-	member.last.forget_lists();
+	member.last.clear_lists();
 	if (!is_new)
 	{
-		return greeting::none;
+		return contact_reply::none;
 	}
-	const greeting due =
-	    node_liveness::greeting_for(_heartbeat.known_ips.size(), listed_addresses(m_members.size() - 1));
+	const contact_reply due =
+	    node_liveness::reply_to_new_node(_heartbeat.known_ips.size(), listed_addresses(m_members.size() - 1));
 	// Failure domains that send digests learn about each other's nodes from these.
-	const bool by_digest = proximity::domain != where && liveness().tells_by_digests();
-	return by_digest && greeting::heartbeat == due ? greeting::none : due;
+	const bool by_digest = proximity::domain != where && liveness().sends_digests();
+	return by_digest && contact_reply::heartbeat == due ? contact_reply::none : due;
 }
 
 void fleet::apply_neighbour_reports(const node_heartbeat& _sender)
 {
 	const steady_time now = m_clock.steady();
-	for (const neighbour_news& report : _sender.neighbours)
+	for (const neighbour_status& report : _sender.neighbours)
 	{
 		const auto it = m_by_hash.find(report.name_hash);
 		if (m_by_hash.end() == it || it->second->last.domain != _sender.domain)
@@ -169,9 +169,9 @@
 		}
 		fleet_member& member = *it->second;
 		const steady_time at = now - report.age;
-		if (at > member.sign_at)
+		if (at > member.last_seen_at)
 		{
-			member.sign_at = at;
+			member.last_seen_at = at;
 			raise_known_revisions(member.last); // The member may have counted as dead.
 		}
 		if (at > member.heard_at)
@@ -189,10 +189,10 @@
 	return (rendezvous_weight(m_self.node.text, 0) + m_self.sequence * (_listed + 1)) % _all;
 }
 
-std::vector<neighbour_news> fleet::neighbour_reports() const
+std::vector<neighbour_status> fleet::neighbour_reports() const
 {
-	std::vector<neighbour_news> reports;
-	if (!liveness().tells_neighbours())
+	std::vector<neighbour_status> reports;
+	if (!liveness().includes_neighbours())
 	{
 		return reports;
 	}
@@ -209,7 +209,7 @@
 	{
 		return reports;
 	}
-	const std::size_t listed = node_liveness::told_neighbours(reports.size());
+	const std::size_t listed = node_liveness::neighbours_per_heartbeat(reports.size());
 	const auto begin = reports.begin() + static_cast<std::ptrdiff_t>(first_listed(reports.size(), listed));
 	std::rotate(reports.begin(), begin, reports.end());
 	reports.resize(listed);
@@ -248,7 +248,7 @@
 	}
 	for (auto& [ip, tries] : m_addresses)
 	{
-		if (node_liveness::is_tried_often(tries++) ||
+		if (node_liveness::is_tried_each_heartbeat(tries++) ||
 		    pace.is_turn(m_self.node, node_name(ip), m_self.sequence, proximity::region))
 		{
 			targets.push_back(ip);
@@ -295,12 +295,12 @@
 	return addresses;
 }
 
-node_heartbeat fleet::greet(greeting _greeting, const domain_name& _for)
+node_heartbeat fleet::greet(contact_reply _greeting, const domain_name& _for)
 {
 	++m_self.sequence;
 	m_self.neighbours.clear();
 	m_self.known_ips.clear();
-	if (greeting::introduction == _greeting)
+	if (contact_reply::introduction == _greeting)
 	{
 		m_self.known_ips = sample_addresses(_for);
 	}
@@ -312,7 +312,7 @@
 	++m_self.sequence;
 	m_self.neighbours = neighbour_reports();
 	m_self.known_ips.clear();
-	if (liveness().tells_addresses(m_self.sequence))
+	if (liveness().includes_addresses(m_self.sequence))
 	{
 		m_self.known_ips = sample_addresses(m_self.domain);
 	}
@@ -330,12 +330,12 @@
 		if (now_alive != member.logged_alive)
 		{
 			member.logged_alive = now_alive;
-			m_log.write(
-			    log_line(now_alive ? event::peer_up : event::peer_suspected)
-			        .text("peer", it->first.text)
-			        .number("incarnation", static_cast<std::int64_t>(member.last.incarnation))
-			        .number("silent_ms",
-			            std::chrono::duration_cast<std::chrono::milliseconds>(now - member.sign_at).count()));
+			m_log.write(log_line(now_alive ? event::peer_up : event::peer_suspected)
+			                .text("peer", it->first.text)
+			                .number("incarnation", static_cast<std::int64_t>(member.last.incarnation))
+			                .number("silent_ms", std::chrono::duration_cast<std::chrono::milliseconds>(
+			                                         now - member.last_seen_at)
+			                                         .count()));
 		}
 		if (!now_alive)
 		{
@@ -343,7 +343,7 @@
 			// servers remain.
 			m_backends.set_in_flight_of_node(it->first, {});
 		}
-		if (!node_liveness::forgotten(now - member.sign_at))
+		if (!node_liveness::forgotten(now - member.last_seen_at))
 		{
 			++it;
 			continue;
--- a/src/entry_node/fleet_answers.cpp
+++ b/src/entry_node/fleet_answers.cpp
@@ -39,13 +39,13 @@
 	return service->second.end() == region ? 0.0 : region->second;
 }
 
-quota_holders holders_of_table(const lender_table& _table, std::uint64_t _thing)
+responsible_nodes holders_of_table(const lender_table& _table, std::uint64_t _thing)
 {
 	const ring_owners owners = _table.ring.owners_of(_thing);
-	quota_holders holders{_table.holders[owners.first], {}};
-	if (owners.stand_in != owners.first)
+	responsible_nodes holders{_table.holders[owners.first], {}};
+	if (owners.backup != owners.first)
 	{
-		holders.stand_in = _table.holders[owners.stand_in];
+		holders.backup = _table.holders[owners.backup];
 	}
 	return holders;
 }
@@ -195,7 +195,7 @@
 		return _node.region == m_self.region;
 	};
 	std::vector<std::string> addresses;
-	for (const node_heartbeat* node : first_told(m_self, live_with(is_of_region), is_large()))
+	for (const node_heartbeat* node : change_recipients(m_self, live_with(is_of_region), is_large()))
 	{
 		addresses.push_back(node->ip);
 	}
@@ -210,7 +210,7 @@
 	};
 	const std::vector<const node_heartbeat*> senders = live_with(is_sender);
 	std::vector<std::string> addresses;
-	if (!tells_on(m_self, senders.empty() ? nullptr : senders.front(), is_large()))
+	if (!forwards_changes(m_self, senders.empty() ? nullptr : senders.front(), is_large()))
 	{
 		return addresses;
 	}
@@ -354,10 +354,10 @@
 	return m_warmup_nodes;
 }
 
-double fleet::warmup_part(const backend_state& _backend) const
+double fleet::warmup_share(const backend_state& _backend) const
 {
 	const warmup_table& table = warmup_nodes();
-	const bool chosen = k_own_index == table.ring.owners_of(ring_place(_backend.id_hash)).first;
+	const bool chosen = k_own_index == table.ring.owners_of(ring_position(_backend.id_hash)).first;
 	return plan_warmup(table.nodes, m_census.most_in_region(), chosen).part;
 }
 
@@ -366,17 +366,17 @@
 	return plan_slot_portion(rate_of(m_self, _service, _region), live().rates.sent_of(_service, _region));
 }
 
-quota_holders fleet::holders_of(std::uint64_t _customer) const
+responsible_nodes fleet::responsible_for(std::uint64_t _customer) const
 {
 	const lender_table& table = lenders_of({});
-	return table.ring.empty() ? quota_holders{{"", short_hash(m_self.node.text)}, {}}
+	return table.ring.empty() ? responsible_nodes{{"", short_hash(m_self.node.text)}, {}}
 	                          : holders_of_table(table, _customer);
 }
 
-quota_holders fleet::holders_in(const region_name& _region, std::uint64_t _thing) const
+responsible_nodes fleet::responsible_in_region(const region_name& _region, std::uint64_t _thing) const
 {
 	const lender_table& table = lenders_of(_region);
-	return table.ring.empty() ? quota_holders{} : holders_of_table(table, _thing);
+	return table.ring.empty() ? responsible_nodes{} : holders_of_table(table, _thing);
 }
 
 double fleet::budget_sharers(std::size_t _live) const
@@ -385,13 +385,13 @@
 	return alone ? 1.0 : std::max(1.0, static_cast<double>(_live));
 }
 
-nodes_in_sight fleet::in_sight() const
+live_node_counts fleet::live_nodes() const
 {
 	const live_summary& summary = live();
 	return {budget_sharers(summary.ready_nodes), m_census.sharers().nodes, summary.ready_version};
 }
 
-nodes_in_sight fleet::in_sight_of_region() const
+live_node_counts fleet::live_nodes_of_region() const
 {
 	// Counts the nodes directly, so that the table of lenders is built only if a limit is configured.
 	const live_summary& summary = live();
@@ -410,8 +410,8 @@
 	return live().rates.demand_of(_service);
 }
 
-rate_by_region fleet::bound_of_others(const service_name& _service) const
+rate_by_region fleet::single_region_demand_of_others(const service_name& _service) const
 {
-	return live().rates.bound_of(_service);
+	return live().rates.single_region_demand_of(_service);
 }
 } // namespace larkrack
--- a/src/entry_node/fleet_digests.cpp
+++ b/src/entry_node/fleet_digests.cpp
@@ -34,9 +34,9 @@
 		m_live.outdated = m_live.outdated || member.last.state != row.last.state;
 		replace_address(member.last.ip, row.last.ip);
 		member.last = row.last;
-		member.last.forget_lists();
+		member.last.clear_lists();
 		member.heard_at = std::max(member.heard_at, at);
-		member.sign_at = std::max(member.sign_at, at);
+		member.last_seen_at = std::max(member.last_seen_at, at);
 		m_last_heartbeat_at = std::max(m_last_heartbeat_at, at);
 		if (is_unknown || moves)
 		{
@@ -100,7 +100,7 @@
 	const auto add = [&part, &parts](const node_heartbeat& _node, std::chrono::milliseconds _age)
 	{
 		part.rows.push_back({_node, _age});
-		part.rows.back().last.forget_lists();
+		part.rows.back().last.clear_lists();
 		if (part.rows.size() >= k_digest_rows)
 		{
 			parts.push_back(part);
@@ -112,7 +112,7 @@
 	for (const node_name* name : live_in(m_self.domain))
 	{
 		const fleet_member& member = m_members.at(*name);
-		add(member.last, std::chrono::duration_cast<std::chrono::milliseconds>(now - member.sign_at));
+		add(member.last, std::chrono::duration_cast<std::chrono::milliseconds>(now - member.last_seen_at));
 	}
 	if (!part.rows.empty())
 	{
@@ -124,7 +124,7 @@
 std::vector<std::string> fleet::digest_targets()
 {
 	std::vector<std::string> targets;
-	if (!liveness().tells_by_digests() || !is_delegate(m_self.node, live_in(m_self.domain)))
+	if (!liveness().sends_digests() || !is_delegate(m_self.node, live_in(m_self.domain)))
 	{
 		return targets;
 	}
--- a/src/entry_node/fleet_p.h
+++ b/src/entry_node/fleet_p.h
@@ -36,7 +36,7 @@
 struct lender_table
 {
 	std::uint64_t version = 0; ///< Value of live_summary::ready_version that the table was built for.
-	std::vector<quota_holder> holders;
+	std::vector<responsible_node> holders;
 	node_ring ring; ///< Consistent hash ring of the holders, by index.
 };
 
@@ -74,7 +74,7 @@
 
 	/// Applies a heartbeat of another node.
 	/// @returns The heartbeat that this node sends back at once, if any.
-	greeting hear(const node_heartbeat& _heartbeat);
+	contact_reply hear(const node_heartbeat& _heartbeat);
 	/// Applies a digest of the nodes of another failure domain.
 	void hear_digest(const domain_digest& _digest);
 	/// @returns Addresses to which this node relays a digest received from _sender_ip; usually none.
@@ -95,7 +95,7 @@
 	/// @returns A heartbeat of this node outside of the rounds, for a node that is new here or as an
 	/// announcement. Do not call it with greeting::none.
 	/// @param[in] _for Failure domain of the receiver; empty: several receivers.
-	node_heartbeat greet(greeting _greeting, const domain_name& _for = {});
+	node_heartbeat greet(contact_reply _greeting, const domain_name& _for = {});
 	/// @returns Whether this node is to keep itself registered in the store.
 	bool registers() const;
 	/// @param[in] _homes Home regions of the host that the callers request.
@@ -143,14 +143,14 @@
 	{
 		return m_census.sharers();
 	}
-	double warmup_part(const backend_state& _backend) const override;
+	double warmup_share(const backend_state& _backend) const override;
 	rate_by_region demand_of_others(const service_name& _service) const override;
-	rate_by_region bound_of_others(const service_name& _service) const override;
+	rate_by_region single_region_demand_of_others(const service_name& _service) const override;
 	slot_portion portion(const service_name& _service, const region_name& _region) const override;
-	quota_holders holders_of(std::uint64_t _customer) const override;
-	nodes_in_sight in_sight() const override;
-	quota_holders holders_in(const region_name& _region, std::uint64_t _thing) const override;
-	nodes_in_sight in_sight_of_region() const override;
+	responsible_nodes responsible_for(std::uint64_t _customer) const override;
+	live_node_counts live_nodes() const override;
+	responsible_nodes responsible_in_region(const region_name& _region, std::uint64_t _thing) const override;
+	live_node_counts live_nodes_of_region() const override;
 	std::vector<std::string> region_addresses() const override;
 
 	/// @returns Whether another node is known and counts as live.
@@ -185,7 +185,7 @@
 	std::size_t nodes_of(const domain_name& _domain) const;
 	static bool alive(const fleet_member& _member, steady_time _now)
 	{
-		return _now - _member.sign_at <= _member.domain->longest_silence;
+		return _now - _member.last_seen_at <= _member.domain->liveness_timeout;
 	}
 	/// @returns The other live nodes that satisfy a condition, in the order of their names.
 	std::vector<const node_heartbeat*> live_with(
@@ -204,7 +204,7 @@
 	/// Applies what a heartbeat reports about other nodes of its sender's failure domain.
 	void apply_neighbour_reports(const node_heartbeat& _sender);
 	/// @returns What this node's next heartbeat reports about other nodes of this failure domain.
-	std::vector<neighbour_news> neighbour_reports() const;
+	std::vector<neighbour_status> neighbour_reports() const;
 	/// @returns Whether the heartbeat of this round is sent to the node.
 	bool is_heartbeat_due(const fleet_member& _member, const node_liveness& _pace, steady_time _now) const;
 	/// @returns Whether the node is in this region and counts as live.
--- a/src/entry_node/forwarded_request.cpp
+++ b/src/entry_node/forwarded_request.cpp
@@ -93,7 +93,7 @@
 	    1 == targets.size() ? targets.front() : m_owner.split_for(*m_route).next(targets);
 	m_service = service_name(target.service);
 	m_key = key_of_request();
-	m_versions = m_context.rollouts.rule_for(m_service, position_of(m_key, m_context.random));
+	m_versions = m_context.rollouts.rule_for(m_service, affinity_position(m_key, m_context.random));
 	service_steering& steering = m_owner.service_entry(m_service).steering;
 	if (1 == m_home_regions.regions.size())
 	{
@@ -188,7 +188,7 @@
 	{
 		return false;
 	}
-	finish_with(answer_at_deadline(m_history, false));
+	finish_with(response_at_deadline(m_history, false));
 	return true;
 }
 
@@ -201,7 +201,7 @@
 		{
 			report_attempt(*m_exchange->backend(), attempt_end::lost);
 		}
-		finish_with(answer_at_deadline(m_history, sent));
+		finish_with(response_at_deadline(m_history, sent));
 	}
 }
 
@@ -231,9 +231,9 @@
 	return retry_after_rest_s(to_s(m_first_return_at - m_context.clock.steady()), default_s);
 }
 
-void forwarded_request::finish_with(const final_answer& _end)
+void forwarded_request::finish_with(const final_response& _end)
 {
-	if (_end.kept_answer)
+	if (_end.kept_response)
 	{
 		respond(std::move(*m_kept_response), _end.end, _end.why);
 		return;
--- a/src/entry_node/forwarded_request_attempts.cpp
+++ b/src/entry_node/forwarded_request_attempts.cpp
@@ -14,7 +14,7 @@
 	switch (_result.end)
 	{
 	case exchange_outcome::answered:
-		return end_of_answer(_result.response->result_int());
+		return attempt_end_of_status(_result.response->result_int());
 	case exchange_outcome::not_run:
 		return attempt_end::not_run;
 	case exchange_outcome::not_sent:
@@ -29,7 +29,7 @@
 bool slot_may_free_up(backend_choice_reason _why)
 {
 	using why = backend_choice_reason;
-	return why::limit_spent != _why && why::none_usable != _why && why::all_resting != _why;
+	return why::limit_exhausted != _why && why::none_usable != _why && why::all_resting != _why;
 }
 } // namespace
 
@@ -40,9 +40,9 @@
 	query.region = _region;
 	query.own_region = m_context.region;
 	query.key = m_key;
-	query.key_part = _steering.keys.part_of(m_key);
+	query.key_share = _steering.keys.frequency_of(m_key);
 	query.own_portion = _steering.own_portion(_region);
-	query.region_per_s = _steering.sent_per_s(_region, m_key);
+	query.region_requests_per_s = _steering.sent_per_s(_region, m_key);
 	query.tried = &m_tried;
 	query.versions = m_versions;
 	query.sharers = m_context.fleet.sharers();
@@ -50,7 +50,7 @@
 	// A retry does not wait for a token: it goes to a backend server that can take it at once.
 	const bool in_time = steady_time{} == m_token_wait_since ||
 	                     m_context.clock.steady() - m_token_wait_since < longest_wait(m_route->objective);
-	query.waits_for_token = m_tried.empty() && in_time;
+	query.may_wait_for_token = m_tried.empty() && in_time;
 	query.without_token = &m_without_token;
 	if (m_route->large_answers)
 	{
@@ -129,8 +129,9 @@
 {
 	if (backend_choice_reason::all_resting == _choice.why)
 	{
-		m_first_return_at = steady_time{} == m_first_return_at ? _choice.back_at
-		                                                       : std::min(m_first_return_at, _choice.back_at);
+		m_first_return_at = steady_time{} == m_first_return_at
+		                        ? _choice.available_at
+		                        : std::min(m_first_return_at, _choice.available_at);
 	}
 }
 
@@ -236,47 +237,47 @@
 	{
 		log_failed_attempt(*backend, _result.detail);
 	}
-	apply_rule(rule_after(end_of(_result), m_route->repeat), std::move(_result));
+	apply_rule(attempt_rule_for(end_of(_result), m_route->repeat), std::move(_result));
 	m_owner.pump();
 }
 
 void forwarded_request::apply_rule(const attempt_rule& _rule, exchange_result&& _result)
 {
 	m_history.count(_rule);
-	if (_rule.pass_answer_on)
+	if (_rule.forward_response)
 	{
 		respond(std::move(*_result.response), outcome::served, reason::none);
 		return;
 	}
-	if (_rule.keep_answer)
+	if (_rule.keep_response)
 	{
 		m_kept_response = std::move(_result.response);
 	}
-	const bool crash_suspected = _result.connection_broke && !m_context.crashes.may_resend(fingerprint());
+	const bool crash_suspected = _result.connection_broke && !m_context.crashes.may_retry(fingerprint());
 	const bool in_time = m_context.clock.steady() < m_deadline;
 	const bool may_retry = in_time && key_still_valid() && !crash_suspected && trial_state::used != m_trial;
-	if (may_retry && may_resend_free(_rule, m_history) && try_send())
+	if (may_retry && may_retry_free(_rule, m_history) && try_send())
 	{
 		return;
 	}
-	if (may_retry && resend_price::never != _rule.price && take_retry() && try_send())
+	if (may_retry && retry_allowance::never != _rule.allowance && take_retry() && try_send())
 	{
 		return;
 	}
-	finish_with(answer_without_resend(m_history, _rule.why));
+	finish_with(response_without_retry(m_history, _rule.why));
 }
 
 bool forwarded_request::take_retry()
 {
-	if (attempts_spent(m_history, m_route->max_attempts))
+	if (attempts_exhausted(m_history, m_route->max_attempts))
 	{
 		return false;
 	}
-	const resend decision =
-	    may_resend(m_history, m_route->max_attempts, m_context.clock.steady(), m_deadline);
-	if (resend::within_budget != decision)
+	const retry_permission decision =
+	    may_retry(m_history, m_route->max_attempts, m_context.clock.steady(), m_deadline);
+	if (retry_permission::needs_budget != decision)
 	{
-		return resend::free == decision;
+		return retry_permission::free == decision;
 	}
 	if (!m_owner.service_entry(m_service).steering.retries.spend(m_context.clock.steady()))
 	{
--- a/src/entry_node/forwarded_request_blocks.cpp
+++ b/src/entry_node/forwarded_request_blocks.cpp
@@ -53,7 +53,7 @@
 	case block_decision::refuse:
 		refuse_blocked();
 		return true;
-	case block_decision::may_ask:
+	case block_decision::may_request_trial:
 		break;
 	}
 	leave_queue();
--- a/src/entry_node/forwarded_request_customer.cpp
+++ b/src/entry_node/forwarded_request_customer.cpp
@@ -73,8 +73,9 @@
 		return reason::unknown_key;
 	}
 	m_customer = identity.holder;
-	m_home_regions = nullptr == m_customer ? home_regions{m_route->home_regions, false}
-	                                       : common_homes(m_route->home_regions, m_customer->home_regions);
+	m_home_regions = nullptr == m_customer
+	                     ? home_regions{m_route->home_regions, false}
+	                     : intersect_home_regions(m_route->home_regions, m_customer->home_regions);
 	return m_home_regions.none_left ? std::optional<reason>(reason::no_home) : std::nullopt;
 }
 
--- a/src/entry_node/forwarded_request_p.h
+++ b/src/entry_node/forwarded_request_p.h
@@ -126,7 +126,7 @@
 	/// @returns Retry-After for a refusal, seconds.
 	double refusal_retry_after_s() const;
 	void refuse_over_quota();
-	void finish_with(const final_answer& _end);
+	void finish_with(const final_response& _end);
 	void respond(caller_response&& _response, outcome _outcome, reason _reason);
 	/// Reports the end of an attempt that reached the backend server to the roll-outs.
 	void report_attempt(const backend_server& _backend, attempt_end _end);
--- a/src/entry_node/forwarder.cpp
+++ b/src/entry_node/forwarder.cpp
@@ -96,7 +96,7 @@
 {
 	const fleet_view_base& others = m_context.fleet;
 	const auto change = _steering.update(m_context.backends.of_service(_name), others.demand_of_others(_name),
-	    others.bound_of_others(_name), _now);
+	    others.single_region_demand_of_others(_name), _now);
 	if (change)
 	{
 		m_context.log.write(log_line_for(_name, *change));
@@ -106,9 +106,9 @@
 void forwarder::tick()
 {
 	const steady_time now = m_context.clock.steady();
-	m_context.gap.on_turn(now);
+	m_context.gap.on_iteration(now);
 	const double elapsed_s = steady_time{} == m_last_tick
-	                             ? k_rate_memory_s
+	                             ? k_rate_time_constant_s
 	                             : std::chrono::duration<double>(now - m_last_tick).count();
 	m_last_tick = now;
 	const double nodes = m_context.fleet.sharers().nodes;
@@ -151,7 +151,7 @@
 		for (const auto& [region, share] : service.steering.shares.of_keys.shares())
 		{
 			const double per_s = share * service.steering.demand.requests_per_s();
-			if (per_s > k_least_demand_per_s)
+			if (per_s > k_min_demand_per_s)
 			{
 				sent[name][region] = per_s;
 			}
--- a/src/entry_node/forwarder_p.h
+++ b/src/entry_node/forwarder_p.h
@@ -73,8 +73,8 @@
 	std::shared_ptr<const routing_table> routes; ///< Configuration for new requests; null: none yet.
 	region_distances distances;
 	forwarder_counters counters;
-	loop_gap gap;          ///< Corrects arrival times after the event loop stood still.
-	bool stopping = false; ///< New requests are refused.
+	loop_stall_detector gap; ///< Corrects arrival times after the event loop stood still.
+	bool stopping = false;   ///< New requests are refused.
 };
 
 /// Interface of a request to its owner.
--- a/src/entry_node/heartbeat.cpp
+++ b/src/entry_node/heartbeat.cpp
@@ -85,10 +85,10 @@
 }
 
 /// @returns Two numbers for each node: the hash of its name, and its age and state packed into one.
-nlohmann::json neighbours_to_json(const std::vector<neighbour_news>& _neighbours)
+nlohmann::json neighbours_to_json(const std::vector<neighbour_status>& _neighbours)
 {
 	nlohmann::json list = nlohmann::json::array();
-	for (const neighbour_news& neighbour : _neighbours)
+	for (const neighbour_status& neighbour : _neighbours)
 	{
 		list.push_back(neighbour.name_hash);
 		list.push_back(neighbour.age / k_age_unit * k_node_states + static_cast<int>(neighbour.state));
@@ -96,9 +96,9 @@
 	return list;
 }
 
-std::vector<neighbour_news> neighbours_of_json(const nlohmann::json& _list)
+std::vector<neighbour_status> neighbours_of_json(const nlohmann::json& _list)
 {
-	std::vector<neighbour_news> neighbours;
+	std::vector<neighbour_status> neighbours;
 	for (std::size_t i = 0; i + 1 < _list.size(); i += 2)
 	{
 		const auto packed = _list.at(i + 1).get<std::uint32_t>();
--- a/src/entry_node/limit_messages.cpp
+++ b/src/entry_node/limit_messages.cpp
@@ -32,9 +32,9 @@
 }
 
 /// @returns Array of the age in milliseconds and, if there is a limit, the scaled limit.
-nlohmann::json limit_to_json(const limit_word& _limit, steady_time _now)
+nlohmann::json limit_to_json(const limit_report& _limit, steady_time _now)
 {
-	const auto age = std::chrono::duration_cast<std::chrono::milliseconds>(_now - _limit.said_at).count();
+	const auto age = std::chrono::duration_cast<std::chrono::milliseconds>(_now - _limit.report_time).count();
 	nlohmann::json fields = nlohmann::json::array();
 	fields.push_back(
 	    std::clamp<std::uint64_t>(age < 0 ? 0 : static_cast<std::uint64_t>(age), 0, k_max_age_ms));
@@ -45,7 +45,7 @@
 	return fields;
 }
 
-std::optional<limit_word> limit_of_json(const nlohmann::json& _fields, steady_time _now)
+std::optional<limit_report> limit_of_json(const nlohmann::json& _fields, steady_time _now)
 {
 	const bool valid = _fields.is_array() && (1 == _fields.size() || 2 == _fields.size()) &&
 	                   _fields[0].is_number_unsigned() && _fields[0].get<std::uint64_t>() <= k_max_age_ms;
@@ -53,7 +53,7 @@
 	{
 		return std::nullopt;
 	}
-	limit_word limit{std::nullopt, _now - std::chrono::milliseconds(_fields[0].get<std::int64_t>())};
+	limit_report limit{std::nullopt, _now - std::chrono::milliseconds(_fields[0].get<std::int64_t>())};
 	if (1 == _fields.size())
 	{
 		return limit;
@@ -63,7 +63,7 @@
 		return std::nullopt;
 	}
 	const double per_s = _fields[1].get<double>() / k_limit_scale;
-	if (per_s < k_least_limit_per_s || per_s > k_most_limit_per_s)
+	if (per_s < k_min_limit_per_s || per_s > k_max_limit_per_s)
 	{
 		return std::nullopt;
 	}
@@ -116,7 +116,7 @@
 	{
 		return decode_error("a field is not a valid count");
 	}
-	const std::optional<limit_word> limit = limit_of_json(document[4], _now);
+	const std::optional<limit_report> limit = limit_of_json(document[4], _now);
 	if (!limit || document[1].get<std::uint64_t>() > std::numeric_limits<std::uint32_t>::max())
 	{
 		return decode_error("invalid limit or backend server instance");
@@ -125,7 +125,7 @@
 	const auto layout = document[0].get<std::uint64_t>();
 	const auto count = document[2].get<std::uint16_t>();
 	const auto last = document[3].get<std::uint16_t>();
-	if (k_request_layout == layout && count >= 1 && last <= static_cast<int>(lender_rank::stand_in))
+	if (k_request_layout == layout && count >= 1 && last <= static_cast<int>(lender_rank::backup))
 	{
 		message.tokens = quota_request{message.life, count, static_cast<lender_rank>(last)};
 	}
--- a/src/entry_node/quota_messages.cpp
+++ b/src/entry_node/quota_messages.cpp
@@ -77,7 +77,7 @@
 		grant.wait = std::chrono::milliseconds(last);
 		return quota_message(grant);
 	}
-	if (k_request_layout != layout || count < 1 || last > static_cast<int>(lender_rank::stand_in))
+	if (k_request_layout != layout || count < 1 || last > static_cast<int>(lender_rank::backup))
 	{
 		return decode_error("unsupported layout");
 	}
--- a/src/entry_node/rollouts.cpp
+++ b/src/entry_node/rollouts.cpp
@@ -69,7 +69,7 @@
 
 bool rollouts::may_expose(const rollout& _rollout) const
 {
-	const nodes_in_sight nodes = m_fleet.in_sight();
+	const live_node_counts nodes = m_fleet.live_nodes();
 	const bool isolated = nodes.most > 1.0 && nodes.live <= 1.0; // This node would not learn of a verdict.
 	const bool expired = m_clock.steady() - _rollout.known_at >= _rollout.order.duration;
 	return !_rollout.own_bad && !_rollout.bad_since && !isolated && !expired;
@@ -203,17 +203,17 @@
 	return sum;
 }
 
-decider_rank rollouts::rank_of(const quota_holders& _deciders) const
+decider_rank rollouts::rank_of(const responsible_nodes& _deciders) const
 {
 	if (_deciders.first.ip.empty())
 	{
 		return decider_rank::first;
 	}
-	const bool is_stand_in = 0 != _deciders.stand_in.name_hash && _deciders.stand_in.ip.empty();
-	return is_stand_in ? decider_rank::stand_in : decider_rank::none;
+	const bool is_stand_in = 0 != _deciders.backup.name_hash && _deciders.backup.ip.empty();
+	return is_stand_in ? decider_rank::backup : decider_rank::none;
 }
 
-void rollouts::report(rollout& _rollout, const quota_holders& _deciders)
+void rollouts::report(rollout& _rollout, const responsible_nodes& _deciders)
 {
 	const steady_time now = m_clock.steady();
 	if (now < _rollout.next_report)
@@ -229,7 +229,7 @@
 	message.passed = std::chrono::duration_cast<std::chrono::milliseconds>(now - _rollout.known_at);
 	message.evidence = _rollout.own;
 	const std::vector<std::uint8_t> bytes = encode(message);
-	for (const quota_holder* decider : {&_deciders.first, &_deciders.stand_in})
+	for (const responsible_node* decider : {&_deciders.first, &_deciders.backup})
 	{
 		if (!decider->ip.empty())
 		{
@@ -303,7 +303,7 @@
 			continue;
 		}
 		current.own_bad = current.own_bad || judge_version(current.own).is_bad();
-		const quota_holders deciders = m_fleet.holders_of(rendezvous_weight(service.text, 0));
+		const responsible_nodes deciders = m_fleet.responsible_for(rendezvous_weight(service.text, 0));
 		report(current, deciders);
 		const decider_rank rank = rank_of(deciders);
 		if (decider_rank::none != rank)
--- a/src/entry_node/rollouts_p.h
+++ b/src/entry_node/rollouts_p.h
@@ -113,8 +113,8 @@
 	/// @returns Whether any backend server of the target version accepts requests.
 	bool is_target_available(const rollout_order& _order) const;
 	rollout_evidence evidence_of_all(const rollout& _rollout) const;
-	decider_rank rank_of(const quota_holders& _deciders) const;
-	void report(rollout& _rollout, const quota_holders& _deciders);
+	decider_rank rank_of(const responsible_nodes& _deciders) const;
+	void report(rollout& _rollout, const responsible_nodes& _deciders);
 	void decide(rollout& _rollout, decider_rank _rank);
 	void write(rollout& _rollout, const rollout_step& _step, const rollout_evidence& _evidence,
 	    const rollout_verdict& _verdict);
--- a/src/entry_node/state_replica.cpp
+++ b/src/entry_node/state_replica.cpp
@@ -272,10 +272,11 @@
 	m_deferred_entries.erase(record->id);
 	m_vanished.erase(record->id);
 	const backend_ptr known = m_backends.find(record->id);
-	if (known && entry_life::former == life_of_entry(known->registered.born_ms, record->born_ms))
+	if (known &&
+	    entry_incarnation::former == classify_entry(known->registered.started_ms, record->started_ms))
 	{
 		m_deferred_entries[record->id] = {
-		    *record, _value.mod_revision, m_clock.steady() + k_former_entry_life};
+		    *record, _value.mod_revision, m_clock.steady() + k_former_entry_timeout};
 		return;
 	}
 	apply_backend(*record, _value.mod_revision);
@@ -285,7 +286,7 @@
 {
 	const backend_ptr known = m_backends.find(_record.id);
 	const bool changed = !known || known->registered.draining != _record.draining ||
-	                     known->registered.born_ms != _record.born_ms;
+	                     known->registered.started_ms != _record.started_ms;
 	if (changed || _record.warmup_left.count() > 0)
 	{
 		m_log.write(log_line(event::backend_changed)
--- a/src/entry_node/state_replica_p.h
+++ b/src/entry_node/state_replica_p.h
@@ -179,7 +179,7 @@
 	{
 		if (m_removal.in_outage())
 		{
-			m_removal.on_store_regained(m_clock.steady());
+			m_removal.on_store_recovered(m_clock.steady());
 		}
 	}
 
--- a/src/entry_node/token_exchange.cpp
+++ b/src/entry_node/token_exchange.cpp
@@ -14,9 +14,9 @@
 /// Interval between two removals of idle accounts, seconds.
 constexpr std::chrono::seconds k_cleanup_interval{1};
 
-quota_lenders lender_hashes(const quota_holders& _holders)
+quota_lenders lender_hashes(const responsible_nodes& _holders)
 {
-	return {_holders.first.name_hash, _holders.stand_in.name_hash};
+	return {_holders.first.name_hash, _holders.backup.name_hash};
 }
 } // namespace
 
@@ -53,7 +53,7 @@
 
 void token_exchange::request_tokens(const quota_subject& _subject)
 {
-	const quota_holders holders = m_owner.holders_of(_subject.id);
+	const responsible_nodes holders = m_owner.responsible_for(_subject.id);
 	if (0 == holders.first.name_hash)
 	{
 		return; // No node lends: the wait ends with the answer that holds without a lender.
@@ -65,7 +65,7 @@
 	{
 		return;
 	}
-	const quota_holder& holder = lender_rank::first == request->rank ? holders.first : holders.stand_in;
+	const responsible_node& holder = lender_rank::first == request->rank ? holders.first : holders.backup;
 	if (!holder.ip.empty())
 	{
 		m_owner.send(*request, holder.ip);
@@ -84,7 +84,7 @@
 		return;
 	}
 	const steady_time now = m_clock.steady();
-	const quota_lenders lenders = lender_hashes(m_owner.holders_of(_subject.id));
+	const quota_lenders lenders = lender_hashes(m_owner.responsible_for(_subject.id));
 	std::vector<std::pair<handler, quota_answer>> decided;
 	waiting_list& waiting = it->second;
 	for (auto request = waiting.begin(); request != waiting.end();)
@@ -183,9 +183,9 @@
 	{
 		return;
 	}
-	const quota_holders holders = m_owner.holders_of(subject->id);
+	const responsible_nodes holders = m_owner.responsible_for(subject->id);
 	const bool from_first = _sender_ip == holders.first.ip;
-	const bool from_stand_in = !from_first && _sender_ip == holders.stand_in.ip;
+	const bool from_stand_in = !from_first && _sender_ip == holders.backup.ip;
 	if (from_stand_in && sends_back(_grant))
 	{
 		m_borrower.on_sent_back(_grant, holders.first.name_hash);
@@ -193,7 +193,7 @@
 	else
 	{
 		const std::uint32_t lender = from_first      ? holders.first.name_hash
-		                             : from_stand_in ? holders.stand_in.name_hash
+		                             : from_stand_in ? holders.backup.name_hash
 		                                             : 0;
 		m_borrower.on_grant(_grant, lender, m_clock.steady());
 	}
@@ -208,13 +208,13 @@
 	{
 		return; // This node has an older configuration; the other node asks again.
 	}
-	const quota_holders holders = m_owner.holders_of(subject->id);
+	const responsible_nodes holders = m_owner.responsible_for(subject->id);
 	quota_request request = _request;
 	// Also if the other node takes this node for the first lender: it may know of a change of nodes earlier.
 	const bool stands_in = !holders.first.ip.empty();
 	if (stands_in)
 	{
-		request.rank = lender_rank::stand_in;
+		request.rank = lender_rank::backup;
 	}
 	if (stands_in && !m_borrower.is_silent(holders.first.name_hash, m_clock.steady()))
 	{
@@ -244,7 +244,7 @@
 	schedule_wake();
 }
 
-void token_exchange::tick(const nodes_in_sight& _nodes)
+void token_exchange::tick(const live_node_counts& _nodes)
 {
 	const steady_time now = m_clock.steady();
 	m_lender.set_nodes(_nodes.live, _nodes.most);
--- a/src/entry_node/token_exchange_p.h
+++ b/src/entry_node/token_exchange_p.h
@@ -31,7 +31,7 @@
 	/// @returns The limit with that id; nothing when there is none.
 	virtual std::optional<quota_subject> find_subject(std::uint64_t _id) const = 0;
 	/// @returns The nodes that lend tokens of the limit: the first lender and its stand-in.
-	virtual quota_holders holders_of(std::uint64_t _id) const = 0;
+	virtual responsible_nodes responsible_for(std::uint64_t _id) const = 0;
 	virtual void send(const quota_message& _message, const std::string& _ip) = 0;
 	/// Called for each request that waited for a token and is above the limit.
 	virtual void on_refused(std::uint64_t _id) = 0;
@@ -71,7 +71,7 @@
 	void on_message(const quota_message& _message, const std::string& _sender_ip);
 	/// Call it at a steady interval.
 	/// @param[in] _nodes Nodes that may lend tokens.
-	void tick(const nodes_in_sight& _nodes);
+	void tick(const live_node_counts& _nodes);
 	/// Asks again for tokens for waiting requests, and ends waits that are over. Called by a timer while any
 	/// request waits.
 	void wake();
--- a/src/entry_node/upstream.cpp
+++ b/src/entry_node/upstream.cpp
@@ -181,7 +181,7 @@
 
 void upstream_exchange::write_if_accepted()
 {
-	if (m_backend->wants_requests(m_clock.steady()))
+	if (m_backend->accepts_requests_now(m_clock.steady()))
 	{
 		write();
 		return;
--- a/src/larkrackd/carrier_keyed.cpp
+++ b/src/larkrackd/carrier_keyed.cpp
@@ -125,7 +125,7 @@
 		break;
 	}
 	carried_end end = serve(_session, _call, _yield);
-	kept_answer kept;
+	kept_response kept;
 	kept.result = end.result;
 	kept.why = end.why;
 	kept.status = end.status;
@@ -150,7 +150,7 @@
 	{
 		return not_known(reason::in_flight_too_long);
 	}
-	const kept_answer& kept = **_answer;
+	const kept_response& kept = **_answer;
 	carried_end end;
 	end.result = kept.result;
 	end.why = kept.why;
--- a/src/larkrackd/key_table.cpp
+++ b/src/larkrackd/key_table.cpp
@@ -42,10 +42,10 @@
 	return {key_verdict::what::run, nullptr};
 }
 
-void key_table::finish(const std::string& _key, const kept_answer& _answer)
+void key_table::finish(const std::string& _key, const kept_response& _answer)
 {
 	std::vector<std::function<void(const kept_ptr&)>> waiting;
-	const auto answer = std::make_shared<const kept_answer>(_answer);
+	const auto answer = std::make_shared<const kept_response>(_answer);
 	{
 		const std::lock_guard<std::mutex> lock(m_mutex);
 		const auto it = m_entries.find(_key);
--- a/src/larkrackd/key_table_p.h
+++ b/src/larkrackd/key_table_p.h
@@ -29,7 +29,7 @@
 namespace larkrack
 {
 /// Answer that is kept for further tries of the same key.
-struct kept_answer
+struct kept_response
 {
 	outcome result = outcome::unknown;
 	reason why = reason::none;
@@ -39,7 +39,7 @@
 	std::string body;
 	bool body_kept = false; ///< False when the body was too large to keep.
 };
-using kept_ptr = std::shared_ptr<const kept_answer>;
+using kept_ptr = std::shared_ptr<const kept_response>;
 
 /// What the table says to a try.
 struct key_verdict
@@ -72,7 +72,7 @@
 	key_verdict begin(const std::string& _key, steady_time _forget_at,
 	    std::function<void(const kept_ptr&)> _on_finish, steady_time _now);
 	/// Ends the first try and calls those who wait. An answer of not_run forgets the key: it may run later.
-	void finish(const std::string& _key, const kept_answer& _answer);
+	void finish(const std::string& _key, const kept_response& _answer);
 	/// @returns Number of keys that are remembered.
 	std::size_t size() const;
 
--- a/src/steering/affinity_key.cpp
+++ b/src/steering/affinity_key.cpp
@@ -24,7 +24,7 @@
 	return {rendezvous_weight(_cookie, rendezvous_weight(_path_prefix, k_prefix_seed))};
 }
 
-double position_of(affinity_key _key, std::minstd_rand& _random)
+double affinity_position(affinity_key _key, std::minstd_rand& _random)
 {
 	if (!_key.any())
 	{
--- a/src/steering/affinity_key_p.h
+++ b/src/steering/affinity_key_p.h
@@ -33,5 +33,5 @@
 /// @param[in] _path_prefix Path prefix of the route.
 affinity_key make_affinity_key(std::string_view _cookie, std::string_view _path_prefix);
 /// @returns Position in [0, 1); a random position for a request without a key.
-double position_of(affinity_key _key, std::minstd_rand& _random);
+double affinity_position(affinity_key _key, std::minstd_rand& _random);
 } // namespace larkrack
--- a/src/steering/attempt_rules.cpp
+++ b/src/steering/attempt_rules.cpp
@@ -5,23 +5,24 @@
 
 namespace larkrack
 {
-attempt_end end_of_answer(unsigned _status)
+attempt_end attempt_end_of_status(unsigned _status)
 {
 	return _status >= k_first_failure_status ? attempt_end::failed : attempt_end::served;
 }
 
-const attempt_rule& rule_after(attempt_end _end, repeat_rule _repeat)
+const attempt_rule& attempt_rule_for(attempt_end _end, repeat_rule _repeat)
 {
-	using price = resend_price;
+	using allowance = retry_allowance;
 	// forward_response, keep_response, reached a backend server, may have run, allowance for a retry, reason.
-	static constexpr attempt_rule s_answered{true, false, true, false, price::never, reason::none};
-	static constexpr attempt_rule s_failed{false, true, true, true, price::retry_budget, reason::none};
-	static constexpr attempt_rule s_not_run{false, false, true, false, price::retry_budget, reason::shed};
+	static constexpr attempt_rule s_answered{true, false, true, false, allowance::never, reason::none};
+	static constexpr attempt_rule s_failed{false, true, true, true, allowance::retry_budget, reason::none};
+	static constexpr attempt_rule s_not_run{false, false, true, false, allowance::retry_budget, reason::shed};
 	static constexpr attempt_rule s_not_sent{
-	    false, false, false, false, price::free_when_unsent, reason::unreachable};
-	static constexpr attempt_rule s_lost{false, false, true, true, price::retry_budget, reason::lost_answer};
+	    false, false, false, false, allowance::free_while_unsent, reason::unreachable};
+	static constexpr attempt_rule s_lost{
+	    false, false, true, true, allowance::retry_budget, reason::lost_answer};
 	static constexpr attempt_rule s_lost_at_most_once{
-	    false, false, true, true, price::never, reason::lost_answer};
+	    false, false, true, true, allowance::never, reason::lost_answer};
 	const bool repeatable = repeat_rule::repeatable == _repeat;
 	switch (_end)
 	{
@@ -43,39 +44,41 @@
 {
 	++(_rule.reached ? reached : unsent);
 	may_have_run = may_have_run || _rule.may_have_run;
-	answer_kept = answer_kept || _rule.keep_answer;
+	response_kept = response_kept || _rule.keep_response;
 }
 
-bool may_resend_free(const attempt_rule& _rule, const attempt_history& _history)
+bool may_retry_free(const attempt_rule& _rule, const attempt_history& _history)
 {
-	return resend_price::free_when_unsent == _rule.price && _history.unsent < k_unsent_limit;
+	return retry_allowance::free_while_unsent == _rule.allowance && _history.unsent < k_max_unsent_attempts;
 }
 
-bool attempts_spent(const attempt_history& _history, int _max_attempts)
+bool attempts_exhausted(const attempt_history& _history, int _max_attempts)
 {
 	return _history.reached >= _max_attempts;
 }
 
-resend may_resend(const attempt_history& _history, int _max_attempts, steady_time _now, steady_time _deadline)
+retry_permission may_retry(
+    const attempt_history& _history, int _max_attempts, steady_time _now, steady_time _deadline)
 {
-	if (attempts_spent(_history, _max_attempts))
+	if (attempts_exhausted(_history, _max_attempts))
 	{
-		return resend::attempts_spent;
+		return retry_permission::attempts_exhausted;
 	}
 	if (_now >= _deadline)
 	{
-		return resend::deadline_exceeded;
+		return retry_permission::deadline_exceeded;
 	}
 	if (_history.reached > 0)
 	{
-		return resend::within_budget;
+		return retry_permission::needs_budget;
 	}
-	return _history.unsent < k_unsent_limit ? resend::free : resend::unsent_exhausted;
+	return _history.unsent < k_max_unsent_attempts ? retry_permission::free
+	                                               : retry_permission::unsent_exhausted;
 }
 
-final_answer answer_without_resend(const attempt_history& _history, reason _why)
+final_response response_without_retry(const attempt_history& _history, reason _why)
 {
-	if (_history.answer_kept)
+	if (_history.response_kept)
 	{
 		return {true, outcome::served, reason::none, 0};
 	}
@@ -86,7 +89,7 @@
 	return {false, outcome::not_run, _why, k_status_refused};
 }
 
-final_answer answer_at_deadline(const attempt_history& _history, bool _sent)
+final_response response_at_deadline(const attempt_history& _history, bool _sent)
 {
 	if (_sent || _history.may_have_run)
 	{
--- a/src/steering/attempt_rules_p.h
+++ b/src/steering/attempt_rules_p.h
@@ -14,9 +14,9 @@
 /// | failed (status 500 and up) | at most once | reached | - | none: the response is forwarded | none |
 /// | failed | repeatable | reached | yes, response is kept | from the retry budget | none |
 /// | not_run (load shedding) | any | reached | no | from the retry budget | shed |
-/// | not_sent | any | unsent | no | free up to k_unsent_limit, then from the retry budget | unreachable |
-/// | lost | repeatable | reached | yes | from the retry budget | lost_answer |
-/// | lost | at most once | reached | yes | none | lost_answer |
+/// | not_sent | any | unsent | no | free up to k_max_unsent_attempts, then from the retry budget |
+/// unreachable | | lost | repeatable | reached | yes | from the retry budget | lost_answer | | lost | at most
+/// once | reached | yes | none | lost_answer |
 ///
 /// When no attempt follows (none is permitted, the budget is exhausted, or no backend server has a free
 /// slot), the request ends with the first that applies: a kept response of a backend server, forwarded as
@@ -38,7 +38,7 @@
 /// Attempts of one request that may fail to connect while further attempts are free. A larger value gets a
 /// request past more unreachable backend servers, but each attempt can use up a connect timeout of the
 /// deadline.
-constexpr int k_unsent_limit = 3;
+constexpr int k_max_unsent_attempts = 3;
 /// Statuses of responses that this node generates itself. Fixed by HTTP.
 constexpr unsigned k_status_unknown = 502;          ///< Bad gateway: the request may have run.
 constexpr unsigned k_status_refused = 503;          ///< Service unavailable: not run, may be retried later.
@@ -57,29 +57,30 @@
 };
 
 /// @returns attempt_end::failed or attempt_end::served, by the status of a complete response.
-attempt_end end_of_answer(unsigned _status);
+attempt_end attempt_end_of_status(unsigned _status);
 
 /// What a retry is charged to.
-enum class resend_price
+enum class retry_allowance
 {
-	never,            ///< No retry may follow.
-	retry_budget,     ///< The retry budget.
-	free_when_unsent, ///< Free while fewer than k_unsent_limit attempts ended unsent, then the retry budget.
+	never,             ///< No retry may follow.
+	retry_budget,      ///< The retry budget.
+	free_while_unsent, ///< Free while fewer than k_max_unsent_attempts attempts ended unsent, then the retry
+	                   ///< budget.
 };
 
 /// One row of the table above.
 struct attempt_rule
 {
-	bool pass_answer_on; ///< The response is final.
-	bool keep_answer;    ///< The response is forwarded unless a later attempt gets a better one.
-	bool reached;        ///< A backend server received at least part of the request.
+	bool forward_response; ///< The response is final.
+	bool keep_response;    ///< The response is forwarded unless a later attempt gets a better one.
+	bool reached;          ///< A backend server received at least part of the request.
 	bool may_have_run;
-	resend_price price;
+	retry_allowance allowance;
 	reason why; ///< Reason reported to the caller if no later attempt succeeds.
 };
 
 /// @returns The row of the table for an attempt's end.
-const attempt_rule& rule_after(attempt_end _end, repeat_rule _repeat);
+const attempt_rule& attempt_rule_for(attempt_end _end, repeat_rule _repeat);
 
 /// Attempts of one request so far.
 struct attempt_history
@@ -87,41 +88,41 @@
 	int reached = 0; ///< Attempts that reached a backend server.
 	int unsent = 0;  ///< Attempts that reached none.
 	bool may_have_run = false;
-	bool answer_kept = false;
+	bool response_kept = false;
 
 	/// Counts one more attempt.
 	void count(const attempt_rule& _rule);
 };
 
 /// Whether another attempt may be made, and why not.
-enum class resend
+enum class retry_permission
 {
-	free,           ///< No attempt has reached a backend server so far.
-	within_budget,  ///< Permitted if the retry budget allows it.
-	attempts_spent, ///< The route permits no further attempt.
+	free,               ///< No attempt has reached a backend server so far.
+	needs_budget,       ///< Permitted if the retry budget allows it.
+	attempts_exhausted, ///< The route permits no further attempt.
 	deadline_exceeded,
 	unsent_exhausted, ///< Too many attempts without a connection.
 };
 
 /// @returns Whether a retry that needs no budget may follow at once.
-bool may_resend_free(const attempt_rule& _rule, const attempt_history& _history);
+bool may_retry_free(const attempt_rule& _rule, const attempt_history& _history);
 /// @param[in] _max_attempts Maximum number of attempts that the route permits.
-bool attempts_spent(const attempt_history& _history, int _max_attempts);
+bool attempts_exhausted(const attempt_history& _history, int _max_attempts);
 /// @param[in] _max_attempts Maximum number of attempts that the route permits.
-resend may_resend(
+retry_permission may_retry(
     const attempt_history& _history, int _max_attempts, steady_time _now, steady_time _deadline);
 
 /// How a request ends when its last attempt has no response to forward.
-struct final_answer
+struct final_response
 {
-	bool kept_answer = false;       ///< The kept response of a backend server is forwarded.
+	bool kept_response = false;     ///< The kept response of a backend server is forwarded.
 	outcome end = outcome::not_run; ///< Not run: the caller gets a retry time.
 	reason why = reason::none;
 	unsigned status = k_status_refused; ///< Not used for a kept response.
 };
 
 /// @param[in] _why Reason of the last attempt's rule.
-final_answer answer_without_resend(const attempt_history& _history, reason _why);
+final_response response_without_retry(const attempt_history& _history, reason _why);
 /// @param[in] _sent Whether a byte of the current attempt was sent.
-final_answer answer_at_deadline(const attempt_history& _history, bool _sent);
+final_response response_at_deadline(const attempt_history& _history, bool _sent);
 } // namespace larkrack
--- a/src/steering/backend_choice.cpp
+++ b/src/steering/backend_choice.cpp
@@ -48,7 +48,7 @@
 	{
 		return false;
 	}
-	const double part = _warmup.warmup_part(_backend);
+	const double part = _warmup.warmup_share(_backend);
 	return part > 0.0 && _backend.warmup.take(warmup_rate(per_s, part), k_warmup_burst, _now);
 }
 
@@ -147,15 +147,15 @@
     const key_role& _role, double _share_per_s, const warmup_sharing_base& _warmup, steady_time _now)
 {
 	using why = backend_choice_reason;
-	if (_role.not_own && _backend.estimated_load(_now) > k_idle_part * _backend.registered.slots)
+	if (_role.not_own && _backend.estimated_load(_now) > k_max_idle_load * _backend.registered.slots)
 	{
-		return why::not_own_of_key;
+		return why::not_preferred_for_key;
 	}
 	if (is_among(_backend, _query.tried))
 	{
 		return why::all_tried;
 	}
-	if (!has_slot(_backend, _role.first ? k_own_depth : 1.0, _query.own_portion, _now))
+	if (!has_slot(_backend, _role.first ? k_preferred_depth : 1.0, _query.own_portion, _now))
 	{
 		return why::no_slot;
 	}
@@ -163,7 +163,7 @@
 	{
 		return why::no_connection;
 	}
-	if (!_backend.rest.may_return(_share_per_s, _now))
+	if (!_backend.rest.admits_after_rest(_share_per_s, _now))
 	{
 		return why::ramping_up;
 	}
@@ -183,7 +183,7 @@
 		return quota_answer::granted;
 	}
 	const quota_answer answer = _query.tokens->take(_backend);
-	return quota_answer::waits == answer && !_query.waits_for_token ? quota_answer::over : answer;
+	return quota_answer::waits == answer && !_query.may_wait_for_token ? quota_answer::over : answer;
 }
 } // namespace
 
@@ -192,16 +192,17 @@
 {
 	using why = backend_choice_reason;
 	backend_choice none;
-	ranked_candidates candidates_by_rank = rank_candidates(_query, _now, none.back_at);
+	ranked_candidates candidates_by_rank = rank_candidates(_query, _now, none.available_at);
 	if (0 == candidates_by_rank.remaining())
 	{
-		none.why = steady_time{} == none.back_at ? why::none_usable : why::all_resting;
+		none.why = steady_time{} == none.available_at ? why::none_usable : why::all_resting;
 		return none;
 	}
-	const double share_per_s = _query.region_per_s / static_cast<double>(candidates_by_rank.remaining());
+	const double share_per_s =
+	    _query.region_requests_per_s / static_cast<double>(candidates_by_rank.remaining());
 	const auto preferred_count = static_cast<std::size_t>(
-	    k_key_servers + std::ceil(k_key_servers_by_share * _query.key_part *
-	                              static_cast<double>(candidates_by_rank.remaining())));
+	    k_min_backends_per_key + std::ceil(k_backends_per_key_share * _query.key_share *
+	                                       static_cast<double>(candidates_by_rank.remaining())));
 	/// Candidates rejected so far; those without a token are not counted, so that the next candidate takes
 	/// their place.
 	std::size_t rejected = 0;
@@ -210,7 +211,7 @@
 		backend_state& backend = candidates_by_rank.next();
 		if (is_among(backend, _query.without_token))
 		{
-			none.why = why::none_usable == none.why ? why::limit_spent : none.why;
+			none.why = why::none_usable == none.why ? why::limit_exhausted : none.why;
 			continue;
 		}
 		const key_role role{
@@ -229,7 +230,7 @@
 		}
 		if (quota_answer::granted != token)
 		{
-			none.why = why::none_usable == none.why ? why::limit_spent : none.why;
+			none.why = why::none_usable == none.why ? why::limit_exhausted : none.why;
 			if (nullptr != _query.without_token)
 			{
 				_query.without_token->push_back(backend.registered.id);
@@ -237,7 +238,7 @@
 			continue;
 		}
 		return {&backend, role.not_own       ? why::idle_for_key
-		                  : _query.key.any() ? why::own_of_key
+		                  : _query.key.any() ? why::preferred_for_key
 		                                     : why::least_load};
 	}
 	return none;
--- a/src/steering/backend_choice_p.h
+++ b/src/steering/backend_choice_p.h
@@ -15,10 +15,12 @@
 /// rendezvous hashing, otherwise by load (requests per slot, lowest first). For large responses, backend
 /// servers outside the node's failure domain come last. The first backend server in this order that passes
 /// all of these checks gets the request:
-/// - affinity: a key uses its first `k_key_servers + ceil(k_key_servers_by_share * fraction * servers)`
-///   backend servers, and others only while they are nearly idle (k_idle_part of their slots);
+/// - affinity: a key uses its first `k_min_backends_per_key + ceil(k_backends_per_key_share * fraction *
+/// servers)`
+///   backend servers, and others only while they are nearly idle (k_max_idle_load of their slots);
 /// - not already tried by this request;
-/// - a free slot: fewer requests than slots (k_own_depth times the slots at the first backend server of a
+/// - a free slot: fewer requests than slots (k_preferred_depth times the slots at the first backend server of
+/// a
 ///   key), or fewer requests of this node than its own portion of the slots;
 /// - a connection: an idle one, or fewer than this node's share of the connection limit;
 /// - slow start: a cold backend server gets requests only from nodes of its own region, within a token bucket
@@ -51,18 +53,18 @@
 {
 /// Requests that may be sent to a cold backend server at once after a pause.
 constexpr double k_warmup_burst = 1.0;
-/// Minimum number of backend servers for each key; k_key_servers_by_share adds to it. Higher values spread a
-/// burst of one key, lower values keep it where it is cached: two or three are worth 0.55 of a loaded day,
+/// Minimum number of backend servers for each key; k_backends_per_key_share adds to it. Higher values spread
+/// a burst of one key, lower values keep it where it is cached: two or three are worth 0.55 of a loaded day,
 /// one 0.72 (docs/DESIGN.md, "Direct sending").
-constexpr double k_key_servers = 1.0;
+constexpr double k_min_backends_per_key = 1.0;
 /// Backend servers of a key relative to the number that the key's requests would fill if all requests were
 /// alike (a ratio). 0: frequent keys queue; higher values send their requests to backend servers that have
 /// not cached them. Chosen by the trials of docs/DESIGN.md, "Keys" ("share counted once").
-constexpr double k_key_servers_by_share = 1.0;
+constexpr double k_backends_per_key_share = 1.0;
 /// Fraction of its slots up to which a backend server accepts keys that are not its own. Higher values start
 /// requests sooner, lower values preserve what the backend server has cached. No foreign keys at all: 0.85 of
 /// the score (docs/DESIGN.md, "Keys").
-constexpr double k_idle_part = 0.2;
+constexpr double k_max_idle_load = 0.2;
 /// Added to the rank of a backend server outside the preferred failure domain. Any value above 1 ranks it
 /// behind all backend servers of the preferred failure domain; not a tuning value.
 constexpr double k_domain_penalty = 2.0;
@@ -70,7 +72,7 @@
 /// at a backend server that has cached the key is faster than an immediate start at one that has not. 1.0
 /// costs 0.07 to 0.09 of worth; 2.4 gains 0.002 with five slots and costs 0.006 with three
 /// (docs/DECISIONS.md).
-constexpr double k_own_depth = 1.7;
+constexpr double k_preferred_depth = 1.7;
 
 /// Tells which nodes send requests to cold backend servers.
 class warmup_sharing_base
@@ -80,7 +82,7 @@
 	/// @returns This node's share, 0 to 1, of the warm-up rate of a cold backend server in its region. The
 	/// shares of all nodes never sum up to much more than 1, even if the nodes have different views of the
 	/// fleet.
-	virtual double warmup_part(const backend_state& _backend) const = 0;
+	virtual double warmup_share(const backend_state& _backend) const = 0;
 };
 
 /// Added to the rank of a backend server that reports a limit, for requests without a key. Any value above
@@ -112,15 +114,15 @@
 	region_name own_region;                                  ///< Region of this node.
 	domain_name nearest_domain;                              ///< Preferred failure domain; empty: none.
 	affinity_key key;
-	double key_part = 0.0;     ///< Fraction of the service's requests that have this key.
-	slot_portion own_portion;  ///< Slots that are reserved for this node, whatever other nodes send.
-	double region_per_s = 0.0; ///< Requests per second that this node sends to the region.
+	double key_share = 0.0;             ///< Fraction of the service's requests that have this key.
+	slot_portion own_portion;           ///< Slots that are reserved for this node, whatever other nodes send.
+	double region_requests_per_s = 0.0; ///< Requests per second that this node sends to the region.
 	service_limits limits;
 	sharing sharers;                                ///< Nodes that share the connection limit.
 	const std::vector<backend_id>* tried = nullptr; ///< Those that already got this request.
 	version_rule versions;                          ///< Versions that take part during a rollout.
 	limit_tokens_base* tokens = nullptr;            ///< Null: limits are not enforced.
-	bool waits_for_token = false;                   ///< Whether the request may wait for a token.
+	bool may_wait_for_token = false;                ///< Whether the request may wait for a token.
 	/// Backend servers whose limit had no token for this request. choose_backend() adds those it finds, so
 	/// that no token is requested twice.
 	std::vector<backend_id>* without_token = nullptr;
@@ -129,19 +131,19 @@
 /// Why a backend server was chosen, or why none was.
 enum class backend_choice_reason
 {
-	own_of_key,       ///< Chosen: one of the key's own backend servers.
-	idle_for_key,     ///< Chosen: not the key's own, but nearly idle.
-	least_load,       ///< Chosen: lowest load; the request has no key.
-	none_usable,      ///< None: the region has no usable backend server.
-	all_resting,      ///< None: all backend servers that would be usable are in a rest period.
-	not_own_of_key,   ///< None: the backend servers that are not the key's own are too busy.
-	all_tried,        ///< None: this request was already sent to all of them.
-	no_slot,          ///< None: no free slot.
-	no_connection,    ///< None: this node's share of the connections is in use.
-	ramping_up,       ///< None: the backend server has just ended a rest, and its share is in use.
-	warmup_exhausted, ///< None: the warm-up rate is used up, or belongs to other nodes.
-	limit_spent,      ///< None: the reported limits of all candidates are exhausted.
-	awaits_token,     ///< Chosen, once a token of its limit becomes available.
+	preferred_for_key,     ///< Chosen: one of the key's own backend servers.
+	idle_for_key,          ///< Chosen: not the key's own, but nearly idle.
+	least_load,            ///< Chosen: lowest load; the request has no key.
+	none_usable,           ///< None: the region has no usable backend server.
+	all_resting,           ///< None: all backend servers that would be usable are in a rest period.
+	not_preferred_for_key, ///< None: the backend servers that are not the key's own are too busy.
+	all_tried,             ///< None: this request was already sent to all of them.
+	no_slot,               ///< None: no free slot.
+	no_connection,         ///< None: this node's share of the connections is in use.
+	ramping_up,            ///< None: the backend server has just ended a rest, and its share is in use.
+	warmup_exhausted,      ///< None: the warm-up rate is used up, or belongs to other nodes.
+	limit_exhausted,       ///< None: the reported limits of all candidates are exhausted.
+	awaits_token,          ///< Chosen, once a token of its limit becomes available.
 };
 
 /// The backend server that a request is sent to.
@@ -150,7 +152,7 @@
 	backend_state* backend = nullptr; ///< Null: none was chosen.
 	/// If none was chosen, why the last candidate was rejected.
 	backend_choice_reason why = backend_choice_reason::none_usable;
-	steady_time back_at{}; ///< If all candidates rest: the earliest end of a rest.
+	steady_time available_at{}; ///< If all candidates rest: the earliest end of a rest.
 };
 
 /// Chooses a backend server. Takes a warm-up token from a cold backend server's budget and a token of a
--- a/src/steering/backend_limit.cpp
+++ b/src/steering/backend_limit.cpp
@@ -9,21 +9,21 @@
 
 namespace larkrack
 {
-quota_subject subject_of(std::uint64_t _id, double _per_s)
+quota_subject limit_quota_subject(std::uint64_t _id, double _per_s)
 {
 	return {_id, {_per_s, k_limit_burst + k_limit_burst_s * _per_s}};
 }
 
-double lending_nodes(double _live, double _most)
+double lender_node_count(double _live, double _most)
 {
 	if (2.0 * _live > _most)
 	{
 		return _most;
 	}
-	return 2.0 * _live == _most ? _live : k_island_part * _live;
+	return 2.0 * _live == _most ? _live : k_minority_share * _live;
 }
 
-std::optional<limit_word> parse_limit(std::string_view _text, steady_time _now)
+std::optional<limit_report> parse_limit(std::string_view _text, steady_time _now)
 {
 	double per_s = 0.0;
 	const char* end = _text.data() + _text.size();
@@ -33,16 +33,16 @@
 	{
 		return std::nullopt;
 	}
-	if (per_s > k_most_limit_per_s)
+	if (per_s > k_max_limit_per_s)
 	{
-		return limit_word{std::nullopt, _now};
+		return limit_report{std::nullopt, _now};
 	}
-	return limit_word{std::max(k_least_limit_per_s, per_s), _now};
+	return limit_report{std::max(k_min_limit_per_s, per_s), _now};
 }
 
-bool named_limit::hear(const limit_word& _word)
+bool reported_limit::hear(const limit_report& _word)
 {
-	if (_word.said_at < m_word.said_at)
+	if (_word.report_time < m_word.report_time)
 	{
 		return false;
 	}
--- a/src/steering/backend_limit_p.h
+++ b/src/steering/backend_limit_p.h
@@ -17,8 +17,8 @@
 /// (docs/CAPACITY.md).
 ///
 /// Rule: the newest report holds, whether it states a limit or none. A header value that is not a number, or
-/// is negative, is ignored: the previous report stays in force. A value above k_most_limit_per_s counts as no
-/// limit. A value below k_least_limit_per_s, including 0, counts as k_least_limit_per_s: without an
+/// is negative, is ignored: the previous report stays in force. A value above k_max_limit_per_s counts as no
+/// limit. A value below k_min_limit_per_s, including 0, counts as k_min_limit_per_s: without an
 /// occasional request no node would learn that the limit has ended.
 ///
 /// Relies on backend_registry to create a new object for each incarnation of a backend server, so that a
@@ -35,9 +35,9 @@
 namespace larkrack
 {
 /// Minimum limit that is enforced, requests per second: one request in four seconds.
-constexpr double k_least_limit_per_s = 0.25;
+constexpr double k_min_limit_per_s = 0.25;
 /// Limit above which no limit is enforced, requests per second: more than any backend server gets.
-constexpr double k_most_limit_per_s = 1e6;
+constexpr double k_max_limit_per_s = 1e6;
 
 /// Requests permitted in any window in excess of the limit itself: half as many again, and five more.
 constexpr quota_bounds k_limit_bounds{std::chrono::milliseconds(4000), 0.5, 5.0,
@@ -49,18 +49,18 @@
 constexpr double k_limit_burst = 2.0; ///< See above.
 /// Fraction of a limit, scaled by the number of visible nodes, that is lent by a node that sees less than
 /// half of its region.
-constexpr double k_island_part = 0.5;
+constexpr double k_minority_share = 0.5;
 
 /// Limit that a backend server reported.
-struct limit_word
+struct limit_report
 {
 	std::optional<double> per_s; ///< Requests per second; nothing: no limit.
-	steady_time said_at{};       ///< By the clock of this node.
+	steady_time report_time{};   ///< By the clock of this node.
 };
 
 /// @param[in] _id Id of the limit in messages between nodes.
 /// @returns Quota subject for which tokens are lent.
-quota_subject subject_of(std::uint64_t _id, double _per_s);
+quota_subject limit_quota_subject(std::uint64_t _id, double _per_s);
 /// Number of nodes to base the lending on. A node that sees more than half of the region lends the whole
 /// limit, so that nothing is lost when nodes are gone for good. If the region is split into two equal halves,
 /// each lends half of the limit. Smaller partitions lend at most a quarter of it in total, which the bounds
@@ -68,30 +68,30 @@
 /// @param[in] _live Visible nodes of the region, including this one.
 /// @param[in] _most Maximum number of nodes of the region ever seen.
 /// @returns Number of nodes, out of _most, that the lender counts.
-double lending_nodes(double _live, double _most);
+double lender_node_count(double _live, double _most);
 
 /// @param[in] _text Value of the limit header.
 /// @returns The report, or nothing if the text is not a limit.
-std::optional<limit_word> parse_limit(std::string_view _text, steady_time _now);
+std::optional<limit_report> parse_limit(std::string_view _text, steady_time _now);
 
 /// The report in force for one incarnation of a backend server.
-class named_limit
+class reported_limit
 {
 public:
 	/// Takes a report, unless a newer one is known.
 	/// @returns Whether the limit changes.
-	bool hear(const limit_word& _word);
+	bool hear(const limit_report& _word);
 	/// @returns Whether a limit is in force.
 	bool limited() const
 	{
 		return m_word.per_s.has_value();
 	}
-	const limit_word& word() const
+	const limit_report& word() const
 	{
 		return m_word;
 	}
 
 private:
-	limit_word m_word;
+	limit_report m_word;
 };
 } // namespace larkrack
--- a/src/steering/backend_rest.cpp
+++ b/src/steering/backend_rest.cpp
@@ -20,7 +20,7 @@
 		return std::nullopt;
 	}
 	const std::chrono::duration<double> rest(seconds);
-	const std::chrono::duration<double> longest(k_longest_rest);
+	const std::chrono::duration<double> longest(k_max_rest);
 	return std::chrono::ceil<steady_time::duration>(std::min(rest, longest));
 }
 
@@ -36,7 +36,7 @@
 	return true;
 }
 
-bool backend_rest::may_return(double _share_per_s, steady_time _now)
+bool backend_rest::admits_after_rest(double _share_per_s, steady_time _now)
 {
 	if (!m_returning)
 	{
@@ -48,11 +48,11 @@
 		m_share = {};
 		return true;
 	}
-	if (_now - m_returned_at >= k_return_time)
+	if (_now - m_returned_at >= k_ramp_up_time)
 	{
 		m_returning = false;
 		return true;
 	}
-	return _now - m_returned_at >= k_look_time && m_share.take(_share_per_s, 1.0, _now);
+	return _now - m_returned_at >= k_probe_time && m_share.take(_share_per_s, 1.0, _now);
 }
 } // namespace larkrack
--- a/src/steering/backend_rest_p.h
+++ b/src/steering/backend_rest_p.h
@@ -12,11 +12,11 @@
 /// Rule: a rest starts when its response was read, which is never earlier than it was sent, so that the rest
 /// never ends too early. Of several rests the one that ends last holds: neither a shorter rest that is read
 /// later nor the response to a request in flight ends it. A value that is not a number of seconds, or is
-/// negative, is ignored: the previous rest stays in force. A rest above k_longest_rest is cut to
-/// k_longest_rest: no backend server needs more, and a mistaken value must not disable one for good.
+/// negative, is ignored: the previous rest stays in force. A rest above k_max_rest is cut to
+/// k_max_rest: no backend server needs more, and a mistaken value must not disable one for good.
 ///
-/// A rest ends by its time alone. One request is sent as a probe, and further ones after k_look_time, when
-/// the probe would have been refused; for k_return_time the rate is limited to the even share. So a backend
+/// A rest ends by its time alone. One request is sent as a probe, and further ones after k_probe_time, when
+/// the probe would have been refused; for k_ramp_up_time the rate is limited to the even share. So a backend
 /// server that still needs rest refuses one request of each node, and a backend server that has recovered
 /// does not get all requests at once because it is empty.
 ///
@@ -38,14 +38,14 @@
 namespace larkrack
 {
 /// Maximum length of a rest.
-constexpr std::chrono::hours k_longest_rest{1};
+constexpr std::chrono::hours k_max_rest{1};
 
 /// Time within which the probe after a rest would have been refused: a round trip to another region. Longer:
 /// a backend server that has recovered stays empty. Shorter: a backend server that has not recovered refuses
 /// more requests.
-constexpr std::chrono::milliseconds k_look_time{100};
+constexpr std::chrono::milliseconds k_probe_time{100};
 /// Time after the probe during which a backend server gets at most its even share.
-constexpr std::chrono::milliseconds k_return_time{1000};
+constexpr std::chrono::milliseconds k_ramp_up_time{1000};
 
 /// @param[in] _text Seconds; may have a fraction.
 /// @returns The rest, or nothing if the text is not a valid number of seconds.
@@ -72,7 +72,7 @@
 	/// Counts a request that is about to be sent after a rest.
 	/// @param[in] _share_per_s Requests per second that are this node's even share.
 	/// @returns Whether the request may be sent; always true if there was no rest or the ramp-up is over.
-	bool may_return(double _share_per_s, steady_time _now);
+	bool admits_after_rest(double _share_per_s, steady_time _now);
 
 private:
 	steady_time m_until{};
--- a/src/steering/backend_state.cpp
+++ b/src/steering/backend_state.cpp
@@ -7,12 +7,12 @@
 
 namespace larkrack
 {
-std::uint32_t life_hash(const backend_registration& _registration)
+std::uint32_t incarnation_hash(const backend_registration& _registration)
 {
-	if (0 == _registration.born_ms)
+	if (0 == _registration.started_ms)
 	{
 		return short_hash(_registration.id.text);
 	}
-	return short_hash(_registration.id.text + "@" + std::to_string(_registration.born_ms));
+	return short_hash(_registration.id.text + "@" + std::to_string(_registration.started_ms));
 }
 } // namespace larkrack
--- a/src/steering/backend_state_p.h
+++ b/src/steering/backend_state_p.h
@@ -29,7 +29,7 @@
 struct backend_registration
 {
 	backend_id id;
-	std::int64_t born_ms = 0; ///< Start time, Unix milliseconds; 0: not declared.
+	std::int64_t started_ms = 0; ///< Start time, Unix milliseconds; 0: not declared.
 	service_name service;
 	domain_name domain;
 	version_name version;  ///< Version of its software.
@@ -41,14 +41,14 @@
 
 /// @returns Hash of one incarnation of a backend server, so that counts of an earlier incarnation are not
 /// applied to a new one.
-std::uint32_t life_hash(const backend_registration& _registration);
+std::uint32_t incarnation_hash(const backend_registration& _registration);
 
 /// One backend server.
 struct backend_state
 {
 	backend_registration registered;
 	region_name region;        ///< Empty: its failure domain is in no known region.
-	std::uint32_t id_hash = 0; ///< Identifies this incarnation in heartbeats, see life_hash().
+	std::uint32_t id_hash = 0; ///< Identifies this incarnation in heartbeats, see incarnation_hash().
 	bool gone = false;         ///< Its entry was removed from the registry.
 	bool evacuated = false;    ///< Its failure domain is being evacuated.
 	steady_time cold_until{};  ///< End of its slow start.
@@ -57,26 +57,27 @@
 	token_bucket warmup;       ///< This node's share of its request rate during slow start.
 	load_estimate load;        ///< Requests that it holds.
 	outlier_ejection ejection; ///< Its recent failures.
-	named_limit limit;         ///< Maximum requests per second from all nodes, if it reports a limit.
+	reported_limit limit;      ///< Maximum requests per second from all nodes, if it reports a limit.
 	backend_rest rest;         ///< Period during which it asked this node to send no requests.
-	bool said_leaving = false; ///< A response to this node said that it is leaving, whatever its entry says.
+	bool reported_leaving =
+	    false; ///< A response to this node said that it is leaving, whatever its entry says.
 
 	/// The registry entry and responses to this node may disagree on whether the backend server is leaving:
 	/// either is sufficient. A response holds for the whole incarnation, an entry until the next entry.
 	/// @returns Whether it may get new requests, rests and failures aside.
 	bool accepts_new_requests() const
 	{
-		return !gone && !evacuated && !registered.draining && !said_leaving;
+		return !gone && !evacuated && !registered.draining && !reported_leaving;
 	}
 	/// @returns Whether it accepts requests of this node now, failures aside.
-	bool wants_requests(steady_time _now) const
+	bool accepts_requests_now(steady_time _now) const
 	{
 		return accepts_new_requests() && !rest.resting(_now);
 	}
 	/// @returns Whether new requests may be sent to it now.
 	bool usable(steady_time _now) const
 	{
-		return wants_requests(_now) && !ejection.ejected(_now);
+		return accepts_requests_now(_now) && !ejection.ejected(_now);
 	}
 	/// @returns Whether it is in slow start and can take only a low request rate.
 	bool cold(steady_time _now) const
--- a/src/steering/blocked_requests.cpp
+++ b/src/steering/blocked_requests.cpp
@@ -45,10 +45,11 @@
 		return block_decision::open;
 	}
 	found->seen_at = _now;
-	return trial_allowed(found->block, _versions) ? block_decision::may_ask : block_decision::refuse;
+	return trial_allowed(found->block, _versions) ? block_decision::may_request_trial
+	                                              : block_decision::refuse;
 }
 
-std::optional<request_block> blocked_requests::grant_look(
+std::optional<request_block> blocked_requests::grant_trial(
     const request_fingerprint& _request, std::uint32_t _versions, steady_time _now)
 {
 	entry* found = find_entry(_request);
@@ -58,22 +59,22 @@
 	{
 		return std::nullopt;
 	}
-	++found->block.looks;
+	++found->block.trials;
 	++found->block.number;
 	found->block.versions = _versions;
-	found->next_trial = _now + k_look_pause;
+	found->next_trial = _now + k_trial_interval;
 	return found->block;
 }
 
-std::optional<request_block> blocked_requests::return_look(
+std::optional<request_block> blocked_requests::return_trial(
     const request_fingerprint& _request, steady_time _now)
 {
 	entry* found = find_entry(_request);
-	if (nullptr == found || 0 == found->block.looks)
+	if (nullptr == found || 0 == found->block.trials)
 	{
 		return std::nullopt;
 	}
-	--found->block.looks;
+	--found->block.trials;
 	++found->block.number;
 	found->next_trial = _now;
 	return found->block;
@@ -115,7 +116,7 @@
 	for (auto it = m_entries.begin(); it != m_entries.end();)
 	{
 		const bool blocked = it->second.block.blocked;
-		const std::chrono::minutes kept = blocked ? k_block_kept : k_clear_kept;
+		const std::chrono::minutes kept = blocked ? k_block_retention : k_clear_retention;
 		if (_now - it->second.seen_at <= kept)
 		{
 			++it;
@@ -138,8 +139,8 @@
 
 bool blocked_requests::trial_allowed(const request_block& _block, std::uint32_t _versions) const
 {
-	const bool other_versions = 0 == _block.looks || _block.versions != _versions;
-	return _block.looks < k_most_looks && other_versions;
+	const bool other_versions = 0 == _block.trials || _block.versions != _versions;
+	return _block.trials < k_max_trials && other_versions;
 }
 
 blocked_requests::entry_map::iterator blocked_requests::forget(entry_map::iterator _entry)
@@ -154,7 +155,7 @@
 
 void blocked_requests::evict_oldest()
 {
-	if (m_entries.size() <= k_most_blocked)
+	if (m_entries.size() <= k_max_blocked)
 	{
 		return;
 	}
--- a/src/steering/blocked_requests_p.h
+++ b/src/steering/blocked_requests_p.h
@@ -11,7 +11,7 @@
 /// Rule: a blocked request is refused at once. It is let through alone once, as a trial, so that an innocent
 /// request that ran beside the faulty one is cleared; and once more when other versions of the service are
 /// running, since a release may have fixed the fault. Each trial may crash one more backend server, so there
-/// are at most k_most_looks; the one node that is responsible for the request decides whether a trial may be
+/// are at most k_max_trials; the one node that is responsible for the request decides whether a trial may be
 /// made.
 ///
 /// Each change to a block has the next number; a change with a number that is not newer (late or duplicate)
@@ -35,18 +35,18 @@
 {
 /// Maximum number of trials of a blocked request. At most three sends may follow the third crash, and one of
 /// them may be in flight when the request is blocked.
-constexpr std::uint32_t k_most_looks = 2;
+constexpr std::uint32_t k_max_trials = 2;
 /// Minimum time between two trials, so that the other versions are fully rolled out and not on a single
 /// backend server.
-constexpr std::chrono::seconds k_look_pause{10};
+constexpr std::chrono::seconds k_trial_interval{10};
 /// Time for which a block is kept while the request does not arrive. Longer: more memory. Shorter: the next
 /// occurrence crashes three backend servers again.
-constexpr std::chrono::minutes k_block_kept{60};
+constexpr std::chrono::minutes k_block_retention{60};
 /// Time for which a cleared request is remembered: longer than a late message takes.
-constexpr std::chrono::minutes k_clear_kept{1};
+constexpr std::chrono::minutes k_clear_retention{1};
 /// Maximum number of requests that are remembered; those that did not arrive for the longest time are evicted
 /// first.
-constexpr std::size_t k_most_blocked = 4096;
+constexpr std::size_t k_max_blocked = 4096;
 
 /// State of one request.
 struct request_block
@@ -54,16 +54,16 @@
 	request_fingerprint request; ///< With k_any_caller: applies to all callers.
 	bool blocked = true;         ///< False: the request was cleared.
 	std::uint32_t number = 0;    ///< Sequence number of the change.
-	std::uint32_t looks = 0;     ///< Number of trials so far.
+	std::uint32_t trials = 0;    ///< Number of trials so far.
 	std::uint32_t versions = 0;  ///< Hash of the versions that were running at the last trial.
 };
 
 /// What a node does with a request.
 enum class block_decision
 {
-	open,    ///< The request is not blocked.
-	may_ask, ///< The request is blocked, and the responsible node may grant a trial.
-	refuse,  ///< The request is blocked.
+	open,              ///< The request is not blocked.
+	may_request_trial, ///< The request is blocked, and the responsible node may grant a trial.
+	refuse,            ///< The request is blocked.
 };
 
 /// Blocked and recently cleared requests known at one node.
@@ -85,11 +85,11 @@
 	block_decision decide(const request_fingerprint& _request, std::uint32_t _versions, steady_time _now);
 	/// Grants a trial; called at the responsible node.
 	/// @returns The new state, to be sent to other nodes; nothing: no trial is granted.
-	std::optional<request_block> grant_look(
+	std::optional<request_block> grant_trial(
 	    const request_fingerprint& _request, std::uint32_t _versions, steady_time _now);
 	/// Returns a trial that did not reach a backend server.
 	/// @returns The new state, to be sent to other nodes; nothing: the request is not blocked any more.
-	std::optional<request_block> return_look(const request_fingerprint& _request, steady_time _now);
+	std::optional<request_block> return_trial(const request_fingerprint& _request, steady_time _now);
 	/// @returns The block that applies to a request, for its caller or for all callers; null: not blocked.
 	const request_block* find(const request_fingerprint& _request) const;
 	/// @returns State of exactly this request and caller, cleared or not; null: unknown.
--- a/src/steering/crash_evidence.cpp
+++ b/src/steering/crash_evidence.cpp
@@ -12,10 +12,10 @@
 {
 /// @returns Number of distinct backend servers among the crashes that meet a condition.
 template <typename Condition>
-std::size_t distinct_backends(const std::deque<backend_end>& _ends, Condition _condition)
+std::size_t distinct_backends(const std::deque<crash_record>& _ends, Condition _condition)
 {
 	std::set<std::uint32_t> lives;
-	for (const backend_end& one : _ends)
+	for (const crash_record& one : _ends)
 	{
 		if (_condition(one))
 		{
@@ -25,14 +25,14 @@
 	return lives.size();
 }
 
-bool counts_for_all(const backend_end& _end)
+bool counts_for_all(const crash_record& _end)
 {
 	return !_end.caller_only;
 }
 } // namespace
 
-std::optional<request_fingerprint> crash_evidence::on_end(
-    const request_fingerprint& _request, const backend_end& _end)
+std::optional<request_fingerprint> crash_evidence::on_crash(
+    const request_fingerprint& _request, const crash_record& _end)
 {
 	const auto [it, is_new] = m_by_content.try_emplace(_request.content);
 	suspect& found = it->second;
@@ -43,7 +43,7 @@
 		m_order.push_back(_request.content);
 	}
 	const bool already_counted = std::any_of(found.ends.begin(), found.ends.end(),
-	    [&_end](const backend_end& _other)
+	    [&_end](const crash_record& _other)
 	    {
 		    return _other.life == _end.life && _other.caller == _end.caller;
 	    });
@@ -51,20 +51,20 @@
 	{
 		found.ends.push_back(_end);
 	}
-	if (found.ends.size() > k_most_ends)
+	if (found.ends.size() > k_max_crashes_per_request)
 	{
 		found.ends.pop_front();
 	}
 	std::optional<request_fingerprint> blamed;
-	if (ends_of(_request) >= k_blamed_ends)
+	if (crash_count(_request) >= k_crashes_to_block)
 	{
 		blamed = _request;
 	}
-	else if (distinct_backends(found.ends, counts_for_all) >= k_blamed_ends)
+	else if (distinct_backends(found.ends, counts_for_all) >= k_crashes_to_block)
 	{
 		blamed = request_fingerprint{_request.head, _request.content, k_any_caller};
 	}
-	if (m_by_content.size() > k_most_suspects)
+	if (m_by_content.size() > k_max_suspects)
 	{
 		forget(m_by_content.find(m_order.front()));
 	}
@@ -79,14 +79,14 @@
 		return;
 	}
 	// A request that is served for one caller may still crash servers for another caller, but not for all.
-	std::deque<backend_end>& ends = it->second.ends;
+	std::deque<crash_record>& ends = it->second.ends;
 	ends.erase(std::remove_if(ends.begin(), ends.end(),
-	               [&_request](const backend_end& _end)
+	               [&_request](const crash_record& _end)
 	               {
 		               return k_any_caller == _request.caller || _end.caller == _request.caller;
 	               }),
 	    ends.end());
-	for (backend_end& one : ends)
+	for (crash_record& one : ends)
 	{
 		one.caller_only = true;
 	}
@@ -96,7 +96,7 @@
 	}
 }
 
-std::size_t crash_evidence::ends_of(const request_fingerprint& _request) const
+std::size_t crash_evidence::crash_count(const request_fingerprint& _request) const
 {
 	const auto it = m_by_content.find(_request.content);
 	if (m_by_content.end() == it)
@@ -104,7 +104,7 @@
 		return 0;
 	}
 	return distinct_backends(it->second.ends,
-	    [&_request](const backend_end& _end)
+	    [&_request](const crash_record& _end)
 	    {
 		    return _end.caller == _request.caller;
 	    });
@@ -115,8 +115,8 @@
 	for (auto it = m_by_content.begin(); it != m_by_content.end();)
 	{
 		const auto next = std::next(it);
-		std::deque<backend_end>& ends = it->second.ends;
-		while (!ends.empty() && _now - ends.front().at > k_end_kept)
+		std::deque<crash_record>& ends = it->second.ends;
+		while (!ends.empty() && _now - ends.front().at > k_crash_retention)
 		{
 			ends.pop_front();
 		}
--- a/src/steering/crash_evidence_p.h
+++ b/src/steering/crash_evidence_p.h
@@ -7,8 +7,8 @@
 /// Inputs: crashes of backend servers, each with the requests that were running there, as seen by any node;
 /// requests that were served.
 ///
-/// Rule: a request is blamed once k_blamed_ends backend servers have crashed while running it, unless it was
-/// served meanwhile. Requests are identified by their fingerprint: first for one caller, and if several
+/// Rule: a request is blamed once k_crashes_to_block backend servers have crashed while running it, unless it
+/// was served meanwhile. Requests are identified by their fingerprint: first for one caller, and if several
 /// callers have sent the same request, for all callers. A crash that several nodes report counts once,
 /// whoever reports it first.
 ///
@@ -35,19 +35,19 @@
 {
 /// Number of backend servers that have to crash while running a request before it is blamed. One or two may
 /// crash by coincidence.
-constexpr std::size_t k_blamed_ends = 3;
+constexpr std::size_t k_crashes_to_block = 3;
 /// Time for which a crash is remembered. Shorter: a request that arrives every few minutes is never blamed.
-constexpr std::chrono::minutes k_end_kept{10};
+constexpr std::chrono::minutes k_crash_retention{10};
 /// Maximum number of suspected requests; the oldest are evicted first.
-constexpr std::size_t k_most_suspects = 4096;
+constexpr std::size_t k_max_suspects = 4096;
 /// Maximum number of crashes remembered for one request: enough that crashes of other callers do not displace
 /// three of one caller.
-constexpr std::size_t k_most_ends = 12;
+constexpr std::size_t k_max_crashes_per_request = 12;
 
 /// Crash of a backend server that was running a request.
-struct backend_end
+struct crash_record
 {
-	std::uint32_t life = 0; ///< life_hash() of the backend server.
+	std::uint32_t life = 0; ///< incarnation_hash() of the backend server.
 	std::uint32_t caller = k_any_caller;
 	bool caller_only = false; ///< Other callers were recently served the same request: the crash counts
 	                          ///< against this caller only.
@@ -60,11 +60,12 @@
 public:
 	/// Records the crash of a backend server that was running a request.
 	/// @returns The request that is blamed now, for its caller or for all callers; nothing: none yet.
-	std::optional<request_fingerprint> on_end(const request_fingerprint& _request, const backend_end& _end);
+	std::optional<request_fingerprint> on_crash(
+	    const request_fingerprint& _request, const crash_record& _end);
 	/// Records that a request was served: earlier crashes of it for that caller no longer count.
 	void on_served(const request_fingerprint& _request);
 	/// @returns Number of backend servers that crashed while running this caller's request.
-	std::size_t ends_of(const request_fingerprint& _request) const;
+	std::size_t crash_count(const request_fingerprint& _request) const;
 	/// @returns Whether any request with that head is suspected.
 	bool suspects(std::uint64_t _head) const
 	{
@@ -81,7 +82,7 @@
 	struct suspect
 	{
 		std::uint64_t head = 0;
-		std::deque<backend_end> ends; ///< In order of their reports.
+		std::deque<crash_record> ends; ///< In order of their reports.
 	};
 	void forget(std::map<std::uint64_t, suspect>::iterator _suspect);
 
--- a/src/steering/customer.cpp
+++ b/src/steering/customer.cpp
@@ -19,7 +19,7 @@
 {
 /// Maximum rate (requests per second) and burst (requests) of a customer. Higher values are rejected as
 /// mistakes: no fleet serves them, and sums would lose precision.
-constexpr double k_most_requests = 1e9;
+constexpr double k_max_requests = 1e9;
 /// Hash seed for customer ids; all nodes must use the same value. Not a tuning value.
 constexpr std::uint64_t k_customer_seed = 3;
 /// Slots of the key table for every two keys. Higher values use more memory, 24 bytes per slot; lower values
@@ -45,7 +45,7 @@
 
 bool is_valid_limit(double _requests)
 {
-	return std::isfinite(_requests) && _requests >= 0.0 && _requests <= k_most_requests;
+	return std::isfinite(_requests) && _requests >= 0.0 && _requests <= k_max_requests;
 }
 
 /// The name is sent to backend servers as a header value.
@@ -200,7 +200,7 @@
 	return rendezvous_weight(_name, k_customer_seed);
 }
 
-home_regions common_homes(
+home_regions intersect_home_regions(
     const std::vector<std::string>& _of_route, const std::vector<std::string>& _of_customer)
 {
 	if (_of_route.empty() || _of_customer.empty())
--- a/src/steering/customer_p.h
+++ b/src/steering/customer_p.h
@@ -122,6 +122,6 @@
 };
 
 /// @returns The regions that both permit.
-home_regions common_homes(
+home_regions intersect_home_regions(
     const std::vector<std::string>& _of_route, const std::vector<std::string>& _of_customer);
 } // namespace larkrack
--- a/src/steering/demand_meter_p.h
+++ b/src/steering/demand_meter_p.h
@@ -24,21 +24,21 @@
 {
 /// Time constant of the rate, seconds: the newest tick has a weight of its length divided by this. Longer is
 /// steadier, shorter follows a change sooner.
-constexpr double k_rate_memory_s = 2.0;
+constexpr double k_rate_time_constant_s = 2.0;
 /// Weight of the newest exchange in the mean service time, no unit. Smaller is steadier.
 constexpr double k_service_time_weight = 0.05;
 /// Service time assumed before any exchange has ended, seconds.
-constexpr double k_service_time_prior_s = 0.4;
+constexpr double k_initial_service_time_s = 0.4;
 
 /// Requests per second, summed over all regions, below which the rate counts as not measured yet.
-constexpr double k_least_demand_per_s = 0.5;
+constexpr double k_min_demand_per_s = 0.5;
 
 /// How far the moving averages of the rates have converged since the first requests: they start at zero and
 /// underestimate the demand at first.
-class first_rates
+class rate_convergence
 {
 public:
-	/// @param[in] _per_s Rates of all nodes, averaged with k_rate_memory_s.
+	/// @param[in] _per_s Rates of all nodes, averaged with k_rate_time_constant_s.
 	/// @returns Fraction of the demand that is not measured yet, 0 to 1; 1 as long as there are hardly any
 	/// requests.
 	double unmeasured(const rate_by_region& _per_s, steady_time _now)
@@ -50,13 +50,13 @@
 			{
 				all_per_s += per_s;
 			}
-			if (all_per_s < k_least_demand_per_s)
+			if (all_per_s < k_min_demand_per_s)
 			{
 				return 1.0;
 			}
 			m_since = _now;
 		}
-		return std::exp(-std::chrono::duration<double>(_now - *m_since).count() / k_rate_memory_s);
+		return std::exp(-std::chrono::duration<double>(_now - *m_since).count() / k_rate_time_constant_s);
 	}
 
 private:
@@ -81,7 +81,7 @@
 	/// @param[in] _passed_s Seconds since the last tick.
 	void tick(double _passed_s)
 	{
-		const double weight = std::min(1.0, _passed_s / k_rate_memory_s);
+		const double weight = std::min(1.0, _passed_s / k_rate_time_constant_s);
 		const double rate = _passed_s > 0.0 ? m_arrivals / _passed_s : m_requests_per_s;
 		m_requests_per_s += weight * (rate - m_requests_per_s);
 		m_arrivals = 0;
@@ -98,6 +98,6 @@
 private:
 	int m_arrivals = 0; ///< Since the last tick.
 	double m_requests_per_s = 0.0;
-	double m_service_time_s = k_service_time_prior_s;
+	double m_service_time_s = k_initial_service_time_s;
 };
 } // namespace larkrack
--- a/src/steering/domain_digest.cpp
+++ b/src/steering/domain_digest.cpp
@@ -17,23 +17,23 @@
 constexpr std::size_t k_delegates = 2;
 /// Milliseconds between two digests to a failure domain of the same region. Longer: lookups return dead nodes
 /// for longer. Shorter: more bytes (6 KB for each of two failure domains of 110 nodes).
-constexpr std::chrono::milliseconds k_near_interval{1000};
+constexpr std::chrono::milliseconds k_near_digest_interval{1000};
 /// Milliseconds between two digests to a failure domain of another region: bytes between regions cost most.
-constexpr std::chrono::milliseconds k_far_interval{4000};
+constexpr std::chrono::milliseconds k_far_digest_interval{4000};
 /// Maximum number of consecutive digests that may be missed. Higher values keep a dead node in lookups for
 /// longer. Lower values drop live nodes: with 5 of 100 datagrams lost, 14 of 100 parts are lost on their
 /// three hops, and three in a row once in 360.
-constexpr int k_missed_digests = 3;
+constexpr int k_max_missed_digests = 3;
 } // namespace
 
 std::chrono::milliseconds digest_interval(proximity _where)
 {
-	return proximity::far == _where ? k_far_interval : k_near_interval;
+	return proximity::far == _where ? k_far_digest_interval : k_near_digest_interval;
 }
 
-std::chrono::milliseconds digest_silence(proximity _where)
+std::chrono::milliseconds digest_timeout(proximity _where)
 {
-	return k_missed_digests * digest_interval(_where);
+	return k_max_missed_digests * digest_interval(_where);
 }
 
 bool is_delegate(const node_name& _self, const std::vector<const node_name*>& _domain)
--- a/src/steering/domain_digest_p.h
+++ b/src/steering/domain_digest_p.h
@@ -8,13 +8,15 @@
 /// Inputs: names of the live nodes of a failure domain; the sequence number of a digest.
 ///
 /// Rule:
-/// - A failure domain of at least k_digest_nodes nodes reports its state by digests: the last heartbeat of
+/// - A failure domain of at least k_min_digest_nodes nodes reports its state by digests: the last heartbeat
+/// of
 ///   each of its live nodes, and how long ago it was received. Two delegates (the first two by rendezvous
 ///   hashing) send digests alternately, each to any one node of each other failure domain.
 /// - The receiver relays the digest to some nodes of its own failure domain, and each of these relays it to
 ///   as many (relay_plan), in an order that differs by digest, so that a lost datagram or two different views
 ///   of the live nodes miss different nodes each time.
-/// - A node counts as dead if k_missed_digests consecutive digests do not list it, in addition to the time
+/// - A node counts as dead if k_max_missed_digests consecutive digests do not list it, in addition to the
+/// time
 ///   after which its own failure domain gives it up.
 ///
 /// Purpose: hundreds of nodes in few failure domains. With heartbeats between all of 986 nodes, a round to
@@ -41,7 +43,7 @@
 {
 /// Minimum number of nodes for a failure domain to use digests. Lower values: digests of a few nodes are
 /// relayed by many. Higher values: heartbeats between all nodes of a larger fleet.
-constexpr std::size_t k_digest_nodes = 64;
+constexpr std::size_t k_min_digest_nodes = 64;
 
 /// Last heartbeat of one node of a failure domain, and its age.
 struct digest_row
@@ -62,13 +64,13 @@
 /// @returns Whether a failure domain of that many nodes reports its state by digests.
 inline bool uses_digests(std::size_t _nodes)
 {
-	return _nodes >= k_digest_nodes;
+	return _nodes >= k_min_digest_nodes;
 }
 /// @returns Time between two digests of a failure domain to one of the same or of another region.
 std::chrono::milliseconds digest_interval(proximity _where);
 /// @returns Time without a digest entry after which a node counts as dead, in addition to the timeout of its
 /// own failure domain.
-std::chrono::milliseconds digest_silence(proximity _where);
+std::chrono::milliseconds digest_timeout(proximity _where);
 /// @param[in] _domain Names of the live nodes of this node's failure domain, without this node.
 /// @returns Whether this node sends digests of its failure domain.
 bool is_delegate(const node_name& _self, const std::vector<const node_name*>& _domain);
--- a/src/steering/entry_life.cpp
+++ b/src/steering/entry_life.cpp
@@ -5,12 +5,12 @@
 
 namespace larkrack
 {
-entry_life life_of_entry(std::int64_t _known_born_ms, std::int64_t _born_ms)
+entry_incarnation classify_entry(std::int64_t _known_born_ms, std::int64_t _born_ms)
 {
 	if (0 == _born_ms || _known_born_ms == _born_ms)
 	{
-		return entry_life::same;
+		return entry_incarnation::same;
 	}
-	return _born_ms > _known_born_ms ? entry_life::newer : entry_life::former;
+	return _born_ms > _known_born_ms ? entry_incarnation::newer : entry_incarnation::former;
 }
 } // namespace larkrack
--- a/src/steering/entry_life_p.h
+++ b/src/steering/entry_life_p.h
@@ -12,7 +12,7 @@
 /// the same or an undeclared start time is the same incarnation. An entry with an earlier start time is
 /// usually a late write of a former incarnation and is ignored: the current incarnation writes again within a
 /// heartbeat. If it does not, the clock of its VM went back, and the entry is accepted after
-/// k_former_entry_life.
+/// k_former_entry_timeout.
 ///
 /// Alternative considered: with the order of the store's revisions alone, a write of a former incarnation
 /// that the store executes seconds late would restore its counts and connections.
@@ -29,10 +29,10 @@
 /// Seconds for which an entry with an earlier start time is ignored: three heartbeats of a backend server (3
 /// s), after which the entry of an ended incarnation has expired. Longer: a backend server whose clock went
 /// back is recognized later. Shorter: a late write of a former incarnation is accepted.
-constexpr std::chrono::seconds k_former_entry_life{9};
+constexpr std::chrono::seconds k_former_entry_timeout{9};
 
 /// Incarnation that an entry belongs to.
-enum class entry_life
+enum class entry_incarnation
 {
 	same,   ///< The current incarnation.
 	newer,  ///< A new incarnation under the same id.
@@ -41,5 +41,5 @@
 
 /// @param[in] _known_born_ms Start time of the current entry.
 /// @param[in] _born_ms Start time of the received entry.
-entry_life life_of_entry(std::int64_t _known_born_ms, std::int64_t _born_ms);
+entry_incarnation classify_entry(std::int64_t _known_born_ms, std::int64_t _born_ms);
 } // namespace larkrack
--- a/src/steering/entry_removal.cpp
+++ b/src/steering/entry_removal.cpp
@@ -19,10 +19,10 @@
 constexpr std::chrono::milliseconds k_removal_delay_outage{6000};
 /// Milliseconds after the end of a store outage by which live owners have written their entries again.
 /// Longer: backend servers that left are kept. Shorter: live ones are removed for a moment.
-constexpr std::chrono::milliseconds k_lapse_repair{2000};
+constexpr std::chrono::milliseconds k_reregistration_time{2000};
 /// Minimum length in milliseconds of an outage that lets leases expire. Longer: expired entries of live
 /// owners are removed. Shorter: a single failed call delays removals.
-constexpr std::chrono::milliseconds k_harmless_outage{1000};
+constexpr std::chrono::milliseconds k_min_relevant_outage{1000};
 } // namespace
 
 void entry_removal::on_store_lost(steady_time _now)
@@ -35,13 +35,13 @@
 	m_reregistered_by.reset();
 }
 
-void entry_removal::on_store_regained(steady_time _now)
+void entry_removal::on_store_recovered(steady_time _now)
 {
 	if (!in_outage())
 	{
 		return;
 	}
-	m_reregistered_by = _now - *m_lost_at < k_harmless_outage ? _now : _now + k_lapse_repair;
+	m_reregistered_by = _now - *m_lost_at < k_min_relevant_outage ? _now : _now + k_reregistration_time;
 }
 
 removal_decision entry_removal::plan(steady_time _vanished_at) const
--- a/src/steering/entry_removal_p.h
+++ b/src/steering/entry_removal_p.h
@@ -9,9 +9,9 @@
 ///
 /// Rule: an entry has a lease, which can expire because its owner left or because the store was unreachable.
 /// An entry that vanished while the store was reachable is removed after k_removal_delay. An entry that
-/// vanished during an outage is kept until live owners have had time to write it again (k_lapse_repair after
-/// the end of the outage), but at most for k_removal_delay_outage. Outages shorter than k_harmless_outage let
-/// no lease expire. Entries that vanished before the outage are removed as usual.
+/// vanished during an outage is kept until live owners have had time to write it again (k_reregistration_time
+/// after the end of the outage), but at most for k_removal_delay_outage. Outages shorter than
+/// k_min_relevant_outage let no lease expire. Entries that vanished before the outage are removed as usual.
 ///
 /// Alternatives considered:
 /// - immediate removal: a backend server that renews its lease late would be removed;
@@ -55,7 +55,7 @@
 	/// Records that a call to the store failed.
 	void on_store_lost(steady_time _now);
 	/// Records that the store is reachable.
-	void on_store_regained(steady_time _now);
+	void on_store_recovered(steady_time _now);
 	/// @returns When an entry that vanished at the given time is removed, by what is known now.
 	removal_decision plan(steady_time _vanished_at) const;
 
--- a/src/steering/fleet_rates.cpp
+++ b/src/steering/fleet_rates.cpp
@@ -30,7 +30,7 @@
 	return m_demand.end() == it ? rate_by_region() : it->second;
 }
 
-rate_by_region fleet_rates::bound_of(const service_name& _service) const
+rate_by_region fleet_rates::single_region_demand_of(const service_name& _service) const
 {
 	rate_by_region bound;
 	const auto it = m_sent.find(bound_part_of(_service));
--- a/src/steering/fleet_rates_p.h
+++ b/src/steering/fleet_rates_p.h
@@ -38,7 +38,7 @@
 	/// @returns First attempts for a service, by region of the nodes that received them.
 	rate_by_region demand_of(const service_name& _service) const;
 	/// @returns Requests for a service that may run in only one region, by that region.
-	rate_by_region bound_of(const service_name& _service) const;
+	rate_by_region single_region_demand_of(const service_name& _service) const;
 	/// @returns Rates at which other nodes send to a region for a service.
 	rates_of_others sent_of(const service_name& _service, const region_name& _region) const;
 
--- a/src/steering/fleet_view_p.h
+++ b/src/steering/fleet_view_p.h
@@ -14,21 +14,21 @@
 {
 /// A node that is responsible for a customer, a limit or another shared item, for example as the lender of
 /// its tokens.
-struct quota_holder
+struct responsible_node
 {
 	std::string ip;              ///< Empty: this node.
 	std::uint32_t name_hash = 0; ///< short_hash of its name; 0: there is none.
 };
 
 /// The nodes that are responsible for one item, such as a customer or a backend server.
-struct quota_holders
+struct responsible_nodes
 {
-	quota_holder first;
-	quota_holder stand_in;
+	responsible_node first;
+	responsible_node backup;
 };
 
 /// Counts of the nodes that may be responsible for items.
-struct nodes_in_sight
+struct live_node_counts
 {
 	double live = 1.0;         ///< Live nodes that take requests, including this one.
 	double most = 1.0;         ///< Maximum number of nodes ever live at once.
@@ -46,18 +46,19 @@
 	virtual rate_by_region demand_of_others(const service_name& _service) const = 0;
 	/// @returns Requests per second for a service that may run in only one region, by that region; without
 	/// this node.
-	virtual rate_by_region bound_of_others(const service_name& _service) const = 0;
+	virtual rate_by_region single_region_demand_of_others(const service_name& _service) const = 0;
 	/// @returns This node's portion of the slots of a service's backend servers in a region, by the rates
 	/// that each node sends there.
 	virtual slot_portion portion(const service_name& _service, const region_name& _region) const = 0;
 	/// @param[in] _customer customer::id.
-	virtual quota_holders holders_of(std::uint64_t _customer) const = 0;
-	virtual nodes_in_sight in_sight() const = 0;
+	virtual responsible_nodes responsible_for(std::uint64_t _customer) const = 0;
+	virtual live_node_counts live_nodes() const = 0;
 	/// @param[in] _item Hash of the item, the same at all nodes.
 	/// @returns The responsible nodes in one region; if none is live, name_hash of the first is 0.
-	virtual quota_holders holders_in(const region_name& _region, std::uint64_t _item) const = 0;
-	/// @returns The same as in_sight(), for nodes of this region only.
-	virtual nodes_in_sight in_sight_of_region() const = 0;
+	virtual responsible_nodes responsible_in_region(
+	    const region_name& _region, std::uint64_t _item) const = 0;
+	/// @returns The same as live_nodes(), for nodes of this region only.
+	virtual live_node_counts live_nodes_of_region() const = 0;
 	/// @returns Addresses of the other live nodes of this region.
 	virtual std::vector<std::string> region_addresses() const = 0;
 };
--- a/src/steering/key_frequency_p.h
+++ b/src/steering/key_frequency_p.h
@@ -22,7 +22,7 @@
 constexpr std::size_t k_key_buckets = 512;
 /// Requests below which no frequency is reported. Lower values report noise, higher values delay more backend
 /// servers for a frequent key.
-constexpr std::uint32_t k_enough_requests = 100;
+constexpr std::uint32_t k_min_counted_requests = 100;
 /// Requests after which all counts are halved. Lower values follow changes sooner, higher values give
 /// steadier frequencies; counts must fit into 16 bits.
 constexpr std::uint32_t k_halve_at_requests = 2000;
@@ -42,10 +42,11 @@
 		++m_all;
 	}
 	/// @returns Fraction of all requests that have this key; 0 while too few were counted.
-	double part_of(affinity_key _key) const
+	double frequency_of(affinity_key _key) const
 	{
-		return m_all < k_enough_requests ? 0.0
-		                                 : m_counts[_key.hash % k_key_buckets] / static_cast<double>(m_all);
+		return m_all < k_min_counted_requests
+		           ? 0.0
+		           : m_counts[_key.hash % k_key_buckets] / static_cast<double>(m_all);
 	}
 
 private:
--- a/src/steering/load_estimate.cpp
+++ b/src/steering/load_estimate.cpp
@@ -12,12 +12,12 @@
 /// Milliseconds for which a report takes precedence over heartbeats. Longer: an outdated load is taken for
 /// the current one, and several nodes send to the same free slot. Shorter: heartbeats, which miss requests
 /// that were sent since, are used more often. Set to the heartbeat interval of a small fleet.
-constexpr std::chrono::milliseconds k_report_fresh{100};
+constexpr std::chrono::milliseconds k_max_report_age{100};
 } // namespace
 
 double load_estimate::requests(steady_time _now) const
 {
-	const bool fresh = _now - m_reported_at <= k_report_fresh;
+	const bool fresh = _now - m_reported_at <= k_max_report_age;
 	return in_flight + (fresh ? m_reported_elsewhere : in_flight_elsewhere);
 }
 
--- a/src/steering/load_estimate_p.h
+++ b/src/steering/load_estimate_p.h
@@ -9,7 +9,7 @@
 /// count); the time (steady clock).
 ///
 /// Rule: the estimate is the own count plus the requests of other nodes. The latter are taken from the last
-/// report of the backend server while it is fresh (k_report_fresh), and from the heartbeats after that.
+/// report of the backend server while it is fresh (k_max_report_age), and from the heartbeats after that.
 ///
 /// Alternatives considered (docs/DESIGN.md, "Direct sending"; a loaded fleet of nine nodes):
 /// - reports of backend servers alone: worth 0.147 and queues up to 0.8 s, since each of nine nodes took an
--- a/src/steering/lookup_answer.cpp
+++ b/src/steering/lookup_answer.cpp
@@ -13,13 +13,13 @@
 {
 /// Maximum number of addresses in a lookup response; the platform's callers use no more. Lower values
 /// concentrate the callers of one response on few nodes.
-constexpr std::size_t k_named_addresses = 64;
+constexpr std::size_t k_max_lookup_addresses = 64;
 
 /// Reduces the list to the maximum size of a response, by rendezvous hashing seeded with the responding
 /// node's address: each responding node selects different nodes, and the same ones as long as they are live.
 void select_subset(std::vector<const node_heartbeat*>& _nodes, const std::string& _own)
 {
-	if (_nodes.size() <= k_named_addresses)
+	if (_nodes.size() <= k_max_lookup_addresses)
 	{
 		return;
 	}
@@ -29,12 +29,12 @@
 		return rendezvous_weight(_left->node.text, seed) > rendezvous_weight(_right->node.text, seed);
 	};
 	std::sort(_nodes.begin(), _nodes.end(), by_weight);
-	_nodes.resize(k_named_addresses);
+	_nodes.resize(k_max_lookup_addresses);
 }
 
 /// @returns Addresses of live nodes of a region; of all regions if _region is empty.
 std::vector<std::string> live_addresses(const region_name& _region,
-    const std::vector<const node_heartbeat*>& _ready, const live_test& _is_live, const std::string& _own)
+    const std::vector<const node_heartbeat*>& _ready, const live_predicate& _is_live, const std::string& _own)
 {
 	std::vector<const node_heartbeat*> selected;
 	for (const node_heartbeat* node : _ready)
@@ -57,7 +57,7 @@
 } // namespace
 
 lookup_decision plan_lookup(const region_name& _region, const std::vector<region_name>& _homes,
-    const std::vector<const node_heartbeat*>& _ready, const live_test& _is_live, const std::string& _own)
+    const std::vector<const node_heartbeat*>& _ready, const live_predicate& _is_live, const std::string& _own)
 {
 	std::vector<std::string> addresses = live_addresses(_region, _ready, _is_live, _own);
 	if (!addresses.empty())
--- a/src/steering/lookup_answer_p.h
+++ b/src/steering/lookup_answer_p.h
@@ -9,12 +9,12 @@
 ///
 /// Rule (failover by locality): all nodes of the caller's region; if there are none, those of the first home
 /// region that has any; if none has, those of all regions; if no node is ready, only this node, which still
-/// serves requests while it stops. The maximum is k_named_addresses; if there are more nodes, each responding
-/// node selects its own subset (rendezvous hashing), so that the callers of a large region spread over all
-/// nodes: of 98 nodes, the first 64 by name had all callers and the others none.
+/// serves requests while it stops. The maximum is k_max_lookup_addresses; if there are more nodes, each
+/// responding node selects its own subset (rendezvous hashing), so that the callers of a large region spread
+/// over all nodes: of 98 nodes, the first 64 by name had all callers and the others none.
 ///
 /// Relies on node_liveness for the live nodes. A node that died is listed until its timeout
-/// (longest_silence), and used by callers for the time to live of the response in addition.
+/// (liveness_timeout), and used by callers for the time to live of the response in addition.
 #pragma once
 
 #include "steering/node_heartbeat_p.h"
@@ -40,12 +40,13 @@
 };
 
 /// Tells whether a node is live. Called only for nodes that may be listed, since each call reads the clock.
-using live_test = std::function<bool(const node_heartbeat&)>;
+using live_predicate = std::function<bool(const node_heartbeat&)>;
 
 /// @param[in] _region Region of the caller; empty: not stated.
 /// @param[in] _homes Home regions of the host.
 /// @param[in] _ready Nodes that reported that they are ready, in the order in which they are listed.
 /// @param[in] _own Address of this node.
 lookup_decision plan_lookup(const region_name& _region, const std::vector<region_name>& _homes,
-    const std::vector<const node_heartbeat*>& _ready, const live_test& _is_live, const std::string& _own);
+    const std::vector<const node_heartbeat*>& _ready, const live_predicate& _is_live,
+    const std::string& _own);
 } // namespace larkrack
--- a/src/steering/loop_gap_p.h
+++ b/src/steering/loop_gap_p.h
@@ -5,7 +5,7 @@
 /// Loop stall detection: determines since when a request that is read now may have waited in its socket,
 /// while the process was stalled or its VM was suspended.
 ///
-/// Inputs: each iteration of the node's event loop, at least one in k_longest_turn while it runs.
+/// Inputs: each iteration of the node's event loop, at least one in k_max_loop_interval while it runs.
 ///
 /// Rule: if no iteration occurred for longer, everything that is read within k_backlog after the stall may
 /// have arrived at any moment of it, and counts as arrived at its start. The caller has waited since then; a
@@ -20,18 +20,18 @@
 {
 /// Maximum time between two iterations of a running loop: twice the longest pause between two ticks, less the
 /// permitted excess of a timeout.
-constexpr std::chrono::milliseconds k_longest_turn{400};
+constexpr std::chrono::milliseconds k_max_loop_interval{400};
 /// Time after a stall during which requests that were waiting in sockets are read.
 constexpr std::chrono::milliseconds k_backlog{100};
 
 /// Detects stalls of the event loop.
-class loop_gap
+class loop_stall_detector
 {
 public:
 	/// Records an iteration of the loop.
-	void on_turn(steady_time _now)
+	void on_iteration(steady_time _now)
 	{
-		if (steady_time{} != m_last_iteration && _now - m_last_iteration > k_longest_turn)
+		if (steady_time{} != m_last_iteration && _now - m_last_iteration > k_max_loop_interval)
 		{
 			m_stall_began = m_last_iteration;
 			m_backlog_until = _now + k_backlog;
@@ -46,7 +46,7 @@
 		{
 			return _now;
 		}
-		on_turn(_now);
+		on_iteration(_now);
 		return _now < m_backlog_until ? m_stall_began : _now;
 	}
 
--- a/src/steering/lost_backends.cpp
+++ b/src/steering/lost_backends.cpp
@@ -13,16 +13,16 @@
 {
 	forget_expired(_now);
 	const backend_id& id = _backend.registered.id;
-	const steady_time leaving_until = _backend.said_leaving ? _now + k_leaving_kept : steady_time{};
+	const steady_time leaving_until = _backend.reported_leaving ? _now + k_leaving_retention : steady_time{};
 	const steady_time forgotten_at = std::max(_backend.rest.until(), leaving_until);
 	if (forgotten_at <= _now)
 	{
 		return;
 	}
 	forget(id);
-	m_lost[id] = {_backend.registered.born_ms, _backend.rest, _backend.said_leaving, forgotten_at};
+	m_lost[id] = {_backend.registered.started_ms, _backend.rest, _backend.reported_leaving, forgotten_at};
 	m_by_time.emplace(forgotten_at, id);
-	if (m_lost.size() > k_lost_backends)
+	if (m_lost.size() > k_max_lost_backends)
 	{
 		forget(backend_id(m_by_time.begin()->second));
 	}
@@ -36,10 +36,10 @@
 	{
 		return;
 	}
-	if (entry_life::same == life_of_entry(found->second.born_ms, _backend.registered.born_ms))
+	if (entry_incarnation::same == classify_entry(found->second.started_ms, _backend.registered.started_ms))
 	{
 		_backend.rest = found->second.rest;
-		_backend.said_leaving = found->second.said_leaving;
+		_backend.reported_leaving = found->second.reported_leaving;
 	}
 	forget(_backend.registered.id);
 }
--- a/src/steering/lost_backends_p.h
+++ b/src/steering/lost_backends_p.h
@@ -10,8 +10,8 @@
 ///
 /// Rule: an entry also vanishes while the store is unreachable, or when its backend server could not write
 /// it. When it reappears for the same incarnation, an unexpired rest is restored, and so is the report that
-/// the backend server is leaving. A rest is dropped when it ends, the report after k_leaving_kept. Only
-/// backend servers that reported either are remembered, at most k_lost_backends; beyond that the one that
+/// the backend server is leaving. A rest is dropped when it ends, the report after k_leaving_retention. Only
+/// backend servers that reported either are remembered, at most k_max_lost_backends; beyond that the one that
 /// expires first is evicted.
 ///
 /// Relies on backend_registry to pass in vanished and reappearing backend servers.
@@ -26,9 +26,9 @@
 {
 /// Time for which a backend server without an entry may keep running after it reported that it is leaving.
 /// Longer: more memory. Shorter: a backend server whose entry reappears late gets requests again.
-constexpr std::chrono::minutes k_leaving_kept{10};
+constexpr std::chrono::minutes k_leaving_retention{10};
 /// Maximum number of backend servers that are remembered, about 200 bytes each.
-constexpr std::size_t k_lost_backends = 4096;
+constexpr std::size_t k_max_lost_backends = 4096;
 
 /// Backend servers without an entry.
 class lost_backends
@@ -42,9 +42,9 @@
 private:
 	struct lost
 	{
-		std::int64_t born_ms;
+		std::int64_t started_ms;
 		backend_rest rest;
-		bool said_leaving;
+		bool reported_leaving;
 		steady_time forgotten_at;
 	};
 	using by_time = std::multimap<steady_time, backend_id>;
--- a/src/steering/news_spread.cpp
+++ b/src/steering/news_spread.cpp
@@ -14,16 +14,16 @@
 /// Maximum number of datagrams (1.2 KB each) in which changes are sent. Higher values: readers' links are
 /// saturated when many keys change at once (36 nodes over a link of 20 Mbit/s: 17 ms per datagram). Lower
 /// values: nodes request what could have been sent, a round trip and 60 ms later.
-constexpr std::size_t k_told_datagrams = 6;
+constexpr std::size_t k_max_change_datagrams = 6;
 } // namespace
 
-telling plan_telling(std::size_t _datagrams, bool _large_fleet)
+change_delivery choose_change_delivery(std::size_t _datagrams, bool _large_fleet)
 {
-	const bool many = _large_fleet && _datagrams > k_told_datagrams;
-	return 0 == _datagrams || many ? telling::announcement : telling::datagrams;
+	const bool many = _large_fleet && _datagrams > k_max_change_datagrams;
+	return 0 == _datagrams || many ? change_delivery::announcement : change_delivery::datagrams;
 }
 
-std::vector<const node_heartbeat*> first_told(
+std::vector<const node_heartbeat*> change_recipients(
     const node_heartbeat& _self, const std::vector<const node_heartbeat*>& _live, bool _large_fleet)
 {
 	if (!_large_fleet)
@@ -54,7 +54,7 @@
 	return recipients;
 }
 
-bool tells_on(const node_heartbeat& _self, const node_heartbeat* _sender, bool _large_fleet)
+bool forwards_changes(const node_heartbeat& _self, const node_heartbeat* _sender, bool _large_fleet)
 {
 	return _large_fleet && nullptr != _sender && _sender->region == _self.region &&
 	       _sender->domain != _self.domain;
--- a/src/steering/news_spread_p.h
+++ b/src/steering/news_spread_p.h
@@ -12,7 +12,8 @@
 ///   domain and to one node of each other failure domain of its region, which forwards them to its own
 ///   failure domain unless it already knew them from another reader. In a small fleet the reader sends them
 ///   to all nodes.
-/// - Many changes (more than k_told_datagrams, in a large fleet) are only announced, and each node requests
+/// - Many changes (more than k_max_change_datagrams, in a large fleet) are only announced, and each node
+/// requests
 ///   them once, over connections that have a lower priority than other traffic.
 ///
 /// Purpose: hundreds of backend servers that leave or are replaced at once, reported by nodes with links of
@@ -33,22 +34,22 @@
 namespace larkrack
 {
 /// Whether changes are sent in full or requested by the receivers.
-enum class telling
+enum class change_delivery
 {
 	datagrams,    ///< The changes are sent.
 	announcement, ///< Only the fact that there are changes is sent.
 };
 
 /// @param[in] _datagrams Number of datagrams that the changes fill; 0: a change fits into no datagram.
-telling plan_telling(std::size_t _datagrams, bool _large_fleet);
+change_delivery choose_change_delivery(std::size_t _datagrams, bool _large_fleet);
 
 /// @param[in] _live Other live nodes of this node's region.
 /// @param[in] _large_fleet Whether one node of each other failure domain forwards changes.
 /// @returns Nodes to which a reader sends changes.
-std::vector<const node_heartbeat*> first_told(
+std::vector<const node_heartbeat*> change_recipients(
     const node_heartbeat& _self, const std::vector<const node_heartbeat*>& _live, bool _large_fleet);
 
 /// @param[in] _sender Node that sent changes which were new here; null: unknown.
 /// @returns Whether this node forwards them to the other nodes of its failure domain.
-bool tells_on(const node_heartbeat& _self, const node_heartbeat* _sender, bool _large_fleet);
+bool forwards_changes(const node_heartbeat& _self, const node_heartbeat* _sender, bool _large_fleet);
 } // namespace larkrack
--- a/src/steering/node_heartbeat_p.h
+++ b/src/steering/node_heartbeat_p.h
@@ -36,7 +36,7 @@
 using in_flight_counts = std::vector<in_flight_count>;
 
 /// What a node reports of another node of its failure domain.
-struct neighbour_news
+struct neighbour_status
 {
 	std::uint32_t name_hash = 0; ///< short_hash of that node's name.
 	node_state state = node_state::starting;
@@ -64,10 +64,10 @@
 	in_flight_counts in_flight;
 	std::vector<std::string> known_ips; ///< Addresses of other nodes, for discovery.
 	/// Live nodes of its failure domain, reported to nodes that receive their heartbeats less often.
-	std::vector<neighbour_news> neighbours;
+	std::vector<neighbour_status> neighbours;
 
 	/// Drops the lists that are processed once and not read again: 3 KB for each node of a large fleet.
-	void forget_lists()
+	void clear_lists()
 	{
 		known_ips = {};
 		neighbours = {};
@@ -89,7 +89,7 @@
 	proximity where = proximity::far;
 	std::size_t nodes = 0; ///< Other nodes that are known.
 	/// Time without a sign of life after which a node counts as dead.
-	steady_time::duration longest_silence{};
+	steady_time::duration liveness_timeout{};
 };
 
 /// Another node, as known from its heartbeats.
@@ -98,7 +98,7 @@
 	node_heartbeat last;
 	const failure_domain_view* domain = nullptr;
 	steady_time heard_at{};      ///< When its last heartbeat was received.
-	steady_time sign_at{};       ///< Last sign of life: its own heartbeat or a report of its neighbours.
+	steady_time last_seen_at{};  ///< Last sign of life: its own heartbeat or a report of its neighbours.
 	std::uint32_t name_hash = 0; ///< short_hash of its name.
 	bool logged_alive = false;   ///< State that was last logged.
 };
--- a/src/steering/node_liveness_p.h
+++ b/src/steering/node_liveness_p.h
@@ -12,18 +12,18 @@
 /// - Nodes of a failure domain send each other heartbeats at an interval that grows with the size of the
 ///   failure domain. Other nodes of the region get one of rounds() heartbeats, so that the number of
 ///   datagrams per second that a node receives does not grow with the fleet; nodes of other regions get one
-///   of k_far_rounds times as many. The schedule differs by sender and receiver.
+///   of k_far_heartbeat_divisor times as many. The schedule differs by sender and receiver.
 /// - Where other nodes receive a node's heartbeats less often than its own failure domain does, each
 ///   heartbeat reports the live nodes of its sender's failure domain and how long ago each was heard. Since
 ///   every node of a failure domain sends such reports, the state of one node is received many times as often
 ///   as its own heartbeats.
 /// - A node counts as live while its last sign of life, its own or reported, is younger than
-///   k_silent_heartbeats of the intervals at which its neighbours receive its heartbeats plus
-///   k_missed_tellings of the intervals at which they report it, and at least for k_silent. Lookups list it
-///   until then.
-/// - A failure domain of at least k_digest_nodes nodes reports its state to the others by digests
-///   (domain_digest_p.h); heartbeats to other failure domains are then k_rare times less frequent, and only
-///   rediscover nodes after a network partition.
+///   k_missed_heartbeats of the intervals at which its neighbours receive its heartbeats plus
+///   k_missed_neighbour_reports of the intervals at which they report it, and at least for
+///   k_min_liveness_timeout. Lookups list it until then.
+/// - A failure domain of at least k_min_digest_nodes nodes reports its state to the others by digests
+///   (domain_digest_p.h); heartbeats to other failure domains are then k_digest_heartbeat_divisor times less
+///   frequent, and only rediscover nodes after a network partition.
 ///
 /// Purpose: nodes that die, are partitioned or stop in a fleet of hundreds, where callers that are sent to a
 /// dead node wait a second for each connection. With 295 nodes in 9 failure domains a dead node of the region
@@ -54,7 +54,7 @@
 namespace larkrack
 {
 /// What a node sends at once to a node that it hears of for the first time.
-enum class greeting
+enum class contact_reply
 {
 	none,         ///< Nothing: the node is already known.
 	heartbeat,    ///< A heartbeat.
@@ -73,46 +73,46 @@
 	}
 	static proximity proximity_of(const node_heartbeat& _own, const node_heartbeat& _other);
 	/// @returns Whether this node's failure domain reports its state to the others by digests.
-	bool tells_by_digests() const
+	bool sends_digests() const
 	{
 		return uses_digests(m_in_domain + 1);
 	}
 	/// @returns Time between two heartbeats to a node of the own failure domain.
 	std::chrono::milliseconds interval() const;
 	/// @returns Number of heartbeats of which a node of that proximity gets one.
-	int rounds(proximity _where) const;
+	int heartbeat_divisor(proximity _where) const;
 	/// The schedule also differs by sender, so that the reports of a failure domain are spread over time.
 	/// @returns Whether a node gets the heartbeat with this sequence number.
 	bool is_turn(
 	    const node_name& _sender, const node_name& _node, std::uint64_t _sequence, proximity _where) const;
 	/// @returns Whether the heartbeat with this sequence number includes the addresses of other nodes.
-	bool tells_addresses(std::uint64_t _sequence) const;
+	bool includes_addresses(std::uint64_t _sequence) const;
 	/// @returns Whether nodes of other failure domains get fewer heartbeats than those of the own failure
 	/// domain.
 	bool is_large() const
 	{
-		return rounds(proximity::region) > 1;
+		return heartbeat_divisor(proximity::region) > 1;
 	}
 	/// @returns Whether heartbeats report the other nodes of the failure domain.
-	bool tells_neighbours() const
+	bool includes_neighbours() const
 	{
 		return is_large();
 	}
 	/// @returns Timeout of a node by its own heartbeats, without reports of others.
-	std::chrono::milliseconds longest_own_silence(proximity _where) const;
+	std::chrono::milliseconds direct_liveness_timeout(proximity _where) const;
 	/// @returns Number of nodes of the failure domain that one heartbeat reports, different ones each time.
-	static std::size_t told_neighbours(std::size_t _known);
+	static std::size_t neighbours_per_heartbeat(std::size_t _known);
 	/// @param[in] _domain_peers Other nodes of its failure domain.
 	/// @returns Timeout of a node by all signs of life, its own heartbeats or reports of others.
-	std::chrono::milliseconds longest_silence(proximity _where, std::size_t _domain_peers) const;
+	std::chrono::milliseconds liveness_timeout(proximity _where, std::size_t _domain_peers) const;
 	/// A new node gets a reply at once from each node that receives its heartbeat, instead of at that node's
 	/// scheduled heartbeat, which is later the larger the fleet is: all of 295 nodes know each other 1 s
 	/// after a simultaneous start instead of 9 s.
 	/// @param[in] _its Number of addresses in the first heartbeat of the new node.
 	/// @param[in] _ours Number of addresses that this node could report to it, without its own.
-	static greeting greeting_for(std::size_t _its, std::size_t _ours);
+	static contact_reply reply_to_new_node(std::size_t _its, std::size_t _ours);
 	/// @returns Whether an address that never replied still gets each heartbeat after that many tries.
-	static bool is_tried_often(int _tries);
+	static bool is_tried_each_heartbeat(int _tries);
 	/// @returns Whether the node is to be removed from the table.
 	static bool forgotten(steady_time::duration _silence);
 	/// @param[in] _last Newest heartbeat of the node so far.
--- a/src/steering/node_ring.cpp
+++ b/src/steering/node_ring.cpp
@@ -9,7 +9,7 @@
 
 namespace larkrack
 {
-std::uint64_t ring_place(std::uint32_t _id_hash)
+std::uint64_t ring_position(std::uint32_t _id_hash)
 {
 	return rendezvous_weight("", _id_hash);
 }
@@ -42,10 +42,10 @@
 	    });
 	std::size_t next_index = m_points.end() == begin ? 0 : static_cast<std::size_t>(begin - m_points.begin());
 	ring_owners owners{m_points[next_index].node, m_points[next_index].node};
-	for (std::size_t visited = 0; visited < m_points.size() && owners.stand_in == owners.first; ++visited)
+	for (std::size_t visited = 0; visited < m_points.size() && owners.backup == owners.first; ++visited)
 	{
 		next_index = (next_index + 1) % m_points.size();
-		owners.stand_in = m_points[next_index].node;
+		owners.backup = m_points[next_index].node;
 	}
 	return owners;
 }
--- a/src/steering/node_ring_p.h
+++ b/src/steering/node_ring_p.h
@@ -33,12 +33,12 @@
 struct ring_owners
 {
 	std::size_t first = 0;
-	std::size_t stand_in = 0; ///< The same as the first if there is only one node.
+	std::size_t backup = 0; ///< The same as the first if there is only one node.
 };
 
 /// @param[in] _id_hash backend_state::id_hash.
 /// @returns Ring position of a backend server, among the items that nodes of its region own.
-std::uint64_t ring_place(std::uint32_t _id_hash);
+std::uint64_t ring_position(std::uint32_t _id_hash);
 
 /// Positions of nodes on the ring.
 class node_ring
--- a/src/steering/quota_borrower.cpp
+++ b/src/steering/quota_borrower.cpp
@@ -101,7 +101,7 @@
 		return quota_answer::over;
 	}
 	const bool none_responds =
-	    is_silent(_lenders.first, _now) && (0 == _lenders.stand_in || is_silent(_lenders.stand_in, _now));
+	    is_silent(_lenders.first, _now) && (0 == _lenders.backup || is_silent(_lenders.backup, _now));
 	return none_responds ? quota_answer::unknown : quota_answer::waits;
 }
 
@@ -186,8 +186,8 @@
 	{
 		return std::nullopt;
 	}
-	const bool skip_first = is_silent(_lenders.first, _now) && 0 != _lenders.stand_in;
-	entry.asked_lender = skip_first ? _lenders.stand_in : _lenders.first;
+	const bool skip_first = is_silent(_lenders.first, _now) && 0 != _lenders.backup;
+	entry.asked_lender = skip_first ? _lenders.backup : _lenders.first;
 	entry.asked_at = _now;
 	on_borrow_sent(entry.asked_lender, _now);
 	quota_request request;
@@ -195,7 +195,7 @@
 	const double wanted = std::max(1.0, static_cast<double>(_waiting) + expected - available);
 	request.wanted = static_cast<std::uint16_t>(std::min(wanted, k_most_wanted));
 	entry.wanted = request.wanted;
-	request.rank = skip_first ? lender_rank::stand_in : lender_rank::first;
+	request.rank = skip_first ? lender_rank::backup : lender_rank::first;
 	return request;
 }
 
--- a/src/steering/quota_borrower_p.h
+++ b/src/steering/quota_borrower_p.h
@@ -72,8 +72,8 @@
 /// Lenders of a customer's tokens, as this node sees them.
 struct quota_lenders
 {
-	std::uint32_t first = 0;    ///< short_hash of the first lender's name.
-	std::uint32_t stand_in = 0; ///< short_hash of the backup lender's name; 0: there is none.
+	std::uint32_t first = 0;  ///< short_hash of the first lender's name.
+	std::uint32_t backup = 0; ///< short_hash of the backup lender's name; 0: there is none.
 };
 
 /// Borrows tokens for the requests of this node, and admits or refuses these requests.
--- a/src/steering/quota_p.h
+++ b/src/steering/quota_p.h
@@ -56,8 +56,8 @@
 /// The lender that a node asks.
 enum class lender_rank : std::uint8_t
 {
-	first,    ///< The first node on the ring of nodes.
-	stand_in, ///< The second node on the ring, because the first does not answer.
+	first,  ///< The first node on the ring of nodes.
+	backup, ///< The second node on the ring, because the first does not answer.
 };
 
 /// Borrow request of a node.
--- a/src/steering/region_choice.cpp
+++ b/src/steering/region_choice.cpp
@@ -23,7 +23,7 @@
 region_choice choose_region(affinity_key _key, const route& _route, const region_name& _own_region,
     const region_distances& _distances, service_shares& _shares, std::minstd_rand& _random)
 {
-	const double position = position_of(_key, _random);
+	const double position = affinity_position(_key, _random);
 	// Requests with large answers stay near their caller: the bytes sent between regions cost more than the
 	// key's affinity saves.
 	if (_key.any() && !_route.large_answers)
--- a/src/steering/request_times_p.h
+++ b/src/steering/request_times_p.h
@@ -8,7 +8,7 @@
 /// (milliseconds), and whether the backend server is in this node's region.
 ///
 /// Algorithm: the deadline is the arrival plus the smaller of the stated timeout (or the default) and the
-/// route's timeout. attempt_rules_p.h (answer_at_deadline) describes what happens at the deadline to a
+/// route's timeout. attempt_rules_p.h (response_at_deadline) describes what happens at the deadline to a
 /// request that was sent and to a request that was not. The connect timeout is short within the region and
 /// longer to another region. Refused callers get a random retry time, so that they do not return all at
 /// once; while all backend servers rest, the retry time is not before the end of the first rest.
--- a/src/steering/rollout_plan_p.h
+++ b/src/steering/rollout_plan_p.h
@@ -34,7 +34,7 @@
 enum class decider_rank
 {
 	first,
-	stand_in,
+	backup,
 	none,
 };
 
--- a/src/steering/service_steering.cpp
+++ b/src/steering/service_steering.cpp
@@ -63,7 +63,7 @@
 	rate_by_region rates;
 	for (const auto& [region, meter] : m_pinned)
 	{
-		if (meter.requests_per_s() > k_least_demand_per_s)
+		if (meter.requests_per_s() > k_min_demand_per_s)
 		{
 			rates[region] = meter.requests_per_s();
 		}
--- a/src/steering/service_steering_p.h
+++ b/src/steering/service_steering_p.h
@@ -91,7 +91,7 @@
 
 private:
 	region_name m_home;
-	first_rates m_first_rates;
+	rate_convergence m_first_rates;
 	peak_rates m_peaks;
 	std::map<region_name, demand_meter> m_pinned; ///< Requests that may run in one region only.
 	double m_last_capacity = 0.0;                 ///< Capacity of the home region, in slots.
--- a/tests/blocked_requests_test.cpp
+++ b/tests/blocked_requests_test.cpp
@@ -57,7 +57,7 @@
 	{
 		set_routes();
 		const scripted_backend& backend = add_backend("b1");
-		block(block_decision::may_ask);
+		block(block_decision::may_request_trial);
 		raw_caller caller = call();
 		caller.send(request("GET", "/read/1", "r1"));
 		run_until(*m_context,
@@ -76,7 +76,7 @@
 	{
 		set_routes();
 		const scripted_backend& backend = add_backend("b1");
-		block(block_decision::may_ask);
+		block(block_decision::may_request_trial);
 		raw_caller caller = call();
 		caller.send(request("GET", "/read/1", "r1"));
 		run_until(*m_context,
@@ -94,7 +94,7 @@
 		set_routes();
 		add_resetting("b1");
 		add_resetting("b2");
-		block(block_decision::may_ask);
+		block(block_decision::may_request_trial);
 		raw_caller caller = call();
 		caller.send(request("GET", "/read/1", "r1"));
 		run_until(*m_context,
@@ -111,7 +111,7 @@
 	{
 		set_routes();
 		add_backend("b1");
-		block(block_decision::may_ask);
+		block(block_decision::may_request_trial);
 		raw_caller caller = call();
 		caller.send(request("GET", "/read/1", "r1"));
 		run_until(*m_context,
--- a/tests/crash_model_test.cpp
+++ b/tests/crash_model_test.cpp
@@ -342,7 +342,7 @@
 	void count_crash(int _node, const request_fingerprint& _request, std::uint32_t _instance)
 	{
 		model_node& node = at(_node);
-		if (node.evidence->on_end(_request, {_instance, _request.caller, false, m_clock.steady()}))
+		if (node.evidence->on_crash(_request, {_instance, _request.caller, false, m_clock.steady()}))
 		{
 			node.blocked.insert(_request);
 		}
--- a/tests/entry_fixture.h
+++ b/tests/entry_fixture.h
@@ -47,7 +47,7 @@
 	{
 		return {};
 	}
-	rate_by_region bound_of_others(const service_name&) const override
+	rate_by_region single_region_demand_of_others(const service_name&) const override
 	{
 		return {};
 	}
@@ -55,23 +55,23 @@
 	{
 		return {};
 	}
-	double warmup_part(const backend_state&) const override
+	double warmup_share(const backend_state&) const override
 	{
 		return 1.0;
 	}
-	quota_holders holders_of(std::uint64_t) const override
+	responsible_nodes responsible_for(std::uint64_t) const override
 	{
 		return {{"", 1}, {}};
 	}
-	nodes_in_sight in_sight() const override
+	live_node_counts live_nodes() const override
 	{
 		return {nodes, nodes, 0};
 	}
-	quota_holders holders_in(const region_name&, std::uint64_t) const override
+	responsible_nodes responsible_in_region(const region_name&, std::uint64_t) const override
 	{
 		return {{"", 1}, {}};
 	}
-	nodes_in_sight in_sight_of_region() const override
+	live_node_counts live_nodes_of_region() const override
 	{
 		return {nodes, nodes, 0};
 	}
@@ -148,7 +148,7 @@
 	{
 		++given_back;
 	}
-	void on_word(backend_server& _backend, const limit_word& _word) override
+	void on_word(backend_server& _backend, const limit_report& _word) override
 	{
 		_backend.limit.hear(_word);
 	}
@@ -189,7 +189,7 @@
 	{
 		broken.push_back(_request);
 	}
-	bool may_resend(const request_fingerprint&) const override
+	bool may_retry(const request_fingerprint&) const override
 	{
 		return resends;
 	}
--- a/tests/fleet_model_test.cpp
+++ b/tests/fleet_model_test.cpp
@@ -75,7 +75,7 @@
 	{
 		node& peer = m_nodes.at(ip_of(_node));
 		peer.view->self().state = node_state::stopping;
-		const auto last = std::make_shared<const node_heartbeat>(peer.view->greet(greeting::heartbeat));
+		const auto last = std::make_shared<const node_heartbeat>(peer.view->greet(contact_reply::heartbeat));
 		for (const std::string& ip : peer.view->region_addresses())
 		{
 			send(last, ip);
@@ -258,8 +258,9 @@
 					receive_digest(to, delivered);
 					continue;
 				}
-				const greeting reply = to.dead ? greeting::none : to.view->hear(*delivered.heartbeat);
-				if (greeting::none != reply)
+				const contact_reply reply =
+				    to.dead ? contact_reply::none : to.view->hear(*delivered.heartbeat);
+				if (contact_reply::none != reply)
 				{
 					send(std::make_shared<const node_heartbeat>(
 					         to.view->greet(reply, delivered.heartbeat->domain)),
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -209,7 +209,7 @@
 			double sum = 0.0;
 			for (int i = 1; i <= 9; ++i)
 			{
-				sum += view_of("n" + std::to_string(i), 9).warmup_part(backend);
+				sum += view_of("n" + std::to_string(i), 9).warmup_share(backend);
 			}
 			CPPUNIT_ASSERT_DOUBLES_EQUAL(1.0, sum, 1e-9);
 		}
@@ -223,7 +223,7 @@
 		{
 			fleet view = view_of("n" + std::to_string(i), 9);
 			m_clock.advance(std::chrono::seconds(5)); // Isolated: no heartbeat since.
-			sum += view.warmup_part(backend);
+			sum += view.warmup_share(backend);
 		}
 		CPPUNIT_ASSERT_DOUBLES_EQUAL(1.0, sum, 1e-9);
 	}
@@ -313,17 +313,17 @@
 	{
 		fleet view = view_of("n1", 200);
 		node_heartbeat new_node = node("n201");
-		CPPUNIT_ASSERT(greeting::introduction == view.hear(new_node));
+		CPPUNIT_ASSERT(contact_reply::introduction == view.hear(new_node));
 		++new_node.sequence;
-		CPPUNIT_ASSERT(greeting::none == view.hear(new_node));
+		CPPUNIT_ASSERT(contact_reply::none == view.hear(new_node));
 		++new_node.incarnation;
-		CPPUNIT_ASSERT(greeting::introduction == view.hear(new_node));
+		CPPUNIT_ASSERT(contact_reply::introduction == view.hear(new_node));
 		node_heartbeat updated = node("n202");
 		updated.known_ips.assign(64, "10.0.0.9");
-		CPPUNIT_ASSERT(greeting::heartbeat == view.hear(updated));
+		CPPUNIT_ASSERT(contact_reply::heartbeat == view.hear(updated));
 		CPPUNIT_ASSERT(
-		    greeting::heartbeat == view_of("n1", 0).hear(new_node)); // There are no addresses to send.
-		CPPUNIT_ASSERT(view.greet(greeting::heartbeat).known_ips.empty());
+		    contact_reply::heartbeat == view_of("n1", 0).hear(new_node)); // There are no addresses to send.
+		CPPUNIT_ASSERT(view.greet(contact_reply::heartbeat).known_ips.empty());
 	}
 
 	void addresses_listed_in_a_large_fleet_rotate_through_all()
@@ -332,7 +332,7 @@
 		std::set<std::string> listed;
 		for (int i = 0; i < 9; ++i)
 		{
-			const std::vector<std::string> some = view.greet(greeting::introduction).known_ips;
+			const std::vector<std::string> some = view.greet(contact_reply::introduction).known_ips;
 			CPPUNIT_ASSERT_EQUAL(std::size_t(64), some.size());
 			listed.insert(some.begin(), some.end());
 		}
@@ -630,17 +630,17 @@
 	void lenders_exclude_a_stopping_node()
 	{
 		fleet view = view_of("n1", 3);
-		const std::uint64_t before = view.in_sight().version;
-		CPPUNIT_ASSERT_DOUBLES_EQUAL(3.0, view.in_sight().live, 1e-9);
+		const std::uint64_t before = view.live_nodes().version;
+		CPPUNIT_ASSERT_DOUBLES_EQUAL(3.0, view.live_nodes().live, 1e-9);
 		node_heartbeat stopping = node("n2");
 		stopping.sequence = 2;
 		stopping.state = node_state::stopping;
 		view.hear(stopping);
-		CPPUNIT_ASSERT_DOUBLES_EQUAL(2.0, view.in_sight().live, 1e-9);
-		CPPUNIT_ASSERT(view.in_sight().version > before);
+		CPPUNIT_ASSERT_DOUBLES_EQUAL(2.0, view.live_nodes().live, 1e-9);
+		CPPUNIT_ASSERT(view.live_nodes().version > before);
 		for (std::uint64_t customer = 0; customer < 50; ++customer)
 		{
-			CPPUNIT_ASSERT(view.holders_of(customer << 57U).first.ip != "10.0.0.2");
+			CPPUNIT_ASSERT(view.responsible_for(customer << 57U).first.ip != "10.0.0.2");
 		}
 	}
 
@@ -648,8 +648,9 @@
 	{
 		fleet view = view_of("n1", _nodes, "west"); // All other nodes are in the region east.
 		std::map<std::string, int> sent;
-		const int rounds = node_liveness(0, static_cast<std::size_t>(_nodes - 1)).rounds(proximity::far);
-		for (int round = 0; round < 2 * rounds; ++round)
+		const int heartbeat_divisor =
+		    node_liveness(0, static_cast<std::size_t>(_nodes - 1)).heartbeat_divisor(proximity::far);
+		for (int round = 0; round < 2 * heartbeat_divisor; ++round)
 		{
 			view.next();
 			for (const std::string& ip : view.targets())
--- a/tests/forms/crash_form_test.cpp
+++ b/tests/forms/crash_form_test.cpp
@@ -60,8 +60,8 @@
 		const end_report end = read_back(end_report{k_request, 9, true});
 		CPPUNIT_ASSERT(k_request == end.request && 1 == end.request.head && 9 == end.life && end.caller_only);
 		const block_news news = read_back(block_news{{k_request, false, 4, 1, 7}, false});
-		CPPUNIT_ASSERT(!news.block.blocked && 4 == news.block.number && 1 == news.block.looks);
-		CPPUNIT_ASSERT(7 == news.block.versions && !news.tells_on);
+		CPPUNIT_ASSERT(!news.block.blocked && 4 == news.block.number && 1 == news.block.trials);
+		CPPUNIT_ASSERT(7 == news.block.versions && !news.forwards_changes);
 		CPPUNIT_ASSERT_EQUAL(7U, read_back(look_request{k_request, 7}).versions);
 		CPPUNIT_ASSERT(read_back(look_answer{k_request, true}).granted);
 		CPPUNIT_ASSERT(k_request == read_back(served_report{k_request}).request);
--- a/tests/forms/limit_form_test.cpp
+++ b/tests/forms/limit_form_test.cpp
@@ -35,19 +35,19 @@
 		CPPUNIT_ASSERT_EQUAL(known, to_hex(encode(ended, k_now)));
 		const result<limit_message> decoded = decode(known);
 		const auto& word = std::get<limit_message>(decoded);
-		CPPUNIT_ASSERT(7 == word.life && !word.word.per_s && ended.word.said_at == word.word.said_at);
+		CPPUNIT_ASSERT(7 == word.life && !word.word.per_s && ended.word.report_time == word.word.report_time);
 		CPPUNIT_ASSERT(std::holds_alternative<std::monostate>(word.tokens));
 	}
 
 	void request_has_the_known_bytes()
 	{
-		const limit_message asked{7, {2.9, k_now}, quota_request{7, 3, lender_rank::stand_in}};
+		const limit_message asked{7, {2.9, k_now}, quota_request{7, 3, lender_rank::backup}};
 		const std::string known = "85186b0703018200190b54";
 		CPPUNIT_ASSERT_EQUAL(known, to_hex(encode(asked, k_now)));
 		const result<limit_message> decoded = decode(known);
 		const auto& request = std::get<quota_request>(std::get<limit_message>(decoded).tokens);
 		CPPUNIT_ASSERT(7 == request.customer && 3 == request.wanted);
-		CPPUNIT_ASSERT(lender_rank::stand_in == request.rank);
+		CPPUNIT_ASSERT(lender_rank::backup == request.rank);
 		CPPUNIT_ASSERT_EQUAL(2.9, *std::get<limit_message>(decoded).word.per_s);
 	}
 
--- a/tests/forms/platform_keys_form_test.cpp
+++ b/tests/forms/platform_keys_form_test.cpp
@@ -265,12 +265,12 @@
 		CPPUNIT_ASSERT_EQUAL(4, record.slots);
 		CPPUNIT_ASSERT(!record.draining);
 		CPPUNIT_ASSERT_EQUAL(std::chrono::milliseconds::rep{1500}, record.warmup_left.count());
-		CPPUNIT_ASSERT_EQUAL(std::int64_t{1796083200123}, record.born_ms);
+		CPPUNIT_ASSERT_EQUAL(std::int64_t{1796083200123}, record.started_ms);
 	}
 
 	void backend_that_does_not_tell_its_start_is_read()
 	{
-		CPPUNIT_ASSERT_EQUAL(std::int64_t{0}, backend_of(entry_with("born")).born_ms);
+		CPPUNIT_ASSERT_EQUAL(std::int64_t{0}, backend_of(entry_with("born")).started_ms);
 	}
 
 	void backend_that_drains_is_read()
@@ -379,7 +379,7 @@
 		request_block block;
 		block.request = {0x1122334455667788, 0x99aabbccddeeff01, 0x0a0b0c0d};
 		block.number = 3;
-		block.looks = 1;
+		block.trials = 1;
 		block.versions = 7;
 		const store_write write = codec.block_write(block);
 		CPPUNIT_ASSERT_EQUAL(std::string("status/blocked/99aabbccddeeff01-0a0b0c0d"), write.key);
@@ -389,7 +389,7 @@
 		const auto decoded = codec.decode_block({write.key, *write.value, 11, 0});
 		const auto& same = std::get<request_block>(decoded);
 		CPPUNIT_ASSERT(same.request == block.request && same.request.head == block.request.head);
-		CPPUNIT_ASSERT(same.blocked && 3 == same.number && 1 == same.looks && 7 == same.versions);
+		CPPUNIT_ASSERT(same.blocked && 3 == same.number && 1 == same.trials && 7 == same.versions);
 		block.blocked = false;
 		CPPUNIT_ASSERT(!codec.block_write(block).value);
 	}
@@ -411,7 +411,7 @@
 			    std::holds_alternative<error>(codec.decode_block({"status/blocked/99-1", absurd, 3, 0})));
 		}
 		const auto by_hand = codec.decode_block({"status/blocked/99-0", R"({"Head":"99"})", 3, 0});
-		CPPUNIT_ASSERT_EQUAL(k_most_looks, std::get<request_block>(by_hand).looks);
+		CPPUNIT_ASSERT_EQUAL(k_max_trials, std::get<request_block>(by_hand).trials);
 	}
 
 	void rollout_status_written_is_read_back()
--- a/tests/forms/programs_daemon.py
+++ b/tests/forms/programs_daemon.py
@@ -237,7 +237,7 @@
 ]
 
 
-class stand_in:
+class backup:
     """Answers requests in the order of a script and keeps them."""
 
     def __init__(self, answers):
@@ -334,7 +334,7 @@
 
 
 def operator_case(programs, folder, arguments, answers):
-    server = stand_in(answers)
+    server = backup(answers)
     text = run(
         programs,
         folder,
--- a/tests/forms/quota_form_test.cpp
+++ b/tests/forms/quota_form_test.cpp
@@ -32,11 +32,11 @@
 		const std::string known = "8418651b0102030405060708190101"
 		                          "01";
 		CPPUNIT_ASSERT_EQUAL(
-		    known, to_hex(encode(quota_request{0x0102030405060708ULL, 257, lender_rank::stand_in})));
+		    known, to_hex(encode(quota_request{0x0102030405060708ULL, 257, lender_rank::backup})));
 		result<quota_message> decoded = decode(known);
 		const auto& request = std::get<quota_request>(*value_of(decoded));
 		CPPUNIT_ASSERT(0x0102030405060708ULL == request.customer && 257 == request.wanted);
-		CPPUNIT_ASSERT(lender_rank::stand_in == request.rank);
+		CPPUNIT_ASSERT(lender_rank::backup == request.rank);
 	}
 
 	void grant_has_the_known_bytes()
--- a/tests/key_table_test.cpp
+++ b/tests/key_table_test.cpp
@@ -39,9 +39,9 @@
 		    m_clock.steady());
 	}
 
-	static kept_answer answer_of(outcome _outcome)
+	static kept_response answer_of(outcome _outcome)
 	{
-		kept_answer answer;
+		kept_response answer;
 		answer.result = _outcome;
 		answer.status = 200;
 		answer.body = "done";
--- a/tests/leaving_requests_test.cpp
+++ b/tests/leaving_requests_test.cpp
@@ -25,7 +25,7 @@
 	{
 		backend_record record;
 		record.id = backend_id(_id);
-		record.born_ms = _born_ms;
+		record.started_ms = _born_ms;
 		record.service = service_name("shop");
 		record.domain = domain_name("east-a");
 		record.slots = 1;
@@ -87,7 +87,7 @@
 		set_routes();
 		add_backend("unused");
 		m_registry->put(record_of("b1", 1000), m_clock.steady());
-		m_registry->find(backend_id("b1"))->said_leaving = true;
+		m_registry->find(backend_id("b1"))->reported_leaving = true;
 		m_registry->remove(backend_id("b1"), m_clock.steady());
 		m_registry->put(record_of("b1", 1000), m_clock.steady());
 		CPPUNIT_ASSERT(!accepts("b1"));
@@ -114,7 +114,7 @@
 		    {
 			    return 1 == m_forwarder->counters().queued;
 		    });
-		m_registry->find(backend_id("b1"))->said_leaving = true;
+		m_registry->find(backend_id("b1"))->reported_leaving = true;
 		add_backend("b2");
 		m_forwarder->pump();
 		CPPUNIT_ASSERT_EQUAL(std::string("fine"), second.receive().body());
--- a/tests/limit_model_test.cpp
+++ b/tests/limit_model_test.cpp
@@ -47,7 +47,7 @@
 	quota_answer take(const backend_state& _backend) override
 	{
 		const double per_s = *_backend.limit.word().per_s;
-		const bool sends = m_view.holders_in(_backend.region, _backend.id_hash).first.ip.empty();
+		const bool sends = m_view.responsible_in_region(_backend.region, _backend.id_hash).first.ip.empty();
 		const double share = m_single_sender ? (sends ? 1.0 : 0.0) : 1.0 / m_view.nodes.most;
 		return m_bucket.take(share * per_s, 1.0, m_clock.steady()) ? quota_answer::granted
 		                                                           : quota_answer::over;
@@ -58,7 +58,7 @@
 	void give_back(const backend_state&) override
 	{
 	}
-	void on_word(backend_server& _backend, const limit_word& _limit) override
+	void on_word(backend_server& _backend, const limit_report& _limit) override
 	{
 		_backend.limit.hear(_limit);
 	}
@@ -180,8 +180,10 @@
 	/// @returns The node that lends the tokens, in the view of node 0.
 	int lender() const
 	{
-		const quota_holder first =
-		    m_nodes.front().view->holders_in(model_region_of(0), ring_place(state_at(0).id_hash)).first;
+		const responsible_node first =
+		    m_nodes.front()
+		        .view->responsible_in_region(model_region_of(0), ring_position(state_at(0).id_hash))
+		        .first;
 		return first.ip.empty() ? 0 : std::stoi(first.ip);
 	}
 	/// @returns Maximum of the requests in any window, relative to the number allowed in that window.
@@ -379,7 +381,7 @@
 	void check_window()
 	{
 		const steady_time now = m_clock.steady();
-		m_limits.push_back({now, m_reported.value_or(k_most_limit_per_s)});
+		m_limits.push_back({now, m_reported.value_or(k_max_limit_per_s)});
 		double highest = 0.0;
 		for (auto it = m_limits.rbegin(); it != m_limits.rend() && it->first > now - k_grace; ++it)
 		{
@@ -533,7 +535,7 @@
 			limit_model model(limit_strategy::lent_tokens, nodes, 0.02, 2);
 			for (const double limit : {20.0, 2.0, 40.0, 0.0, 3.0, 0.01, 10.0})
 			{
-				model.set_limit(std::max(k_least_limit_per_s, limit));
+				model.set_limit(std::max(k_min_limit_per_s, limit));
 				model.run(ms(6000), 60.0);
 				CPPUNIT_ASSERT_MESSAGE(std::to_string(limit) + " a second at " + std::to_string(nodes) +
 				                           " nodes: " + std::to_string(model.max_utilization()),
@@ -609,7 +611,7 @@
 			    limit_model model(limit_strategy::lent_tokens, nodes, loss,
 			        static_cast<unsigned>(*rc::gen::inRange(1, 1000000)));
 			    double limit = *rc::gen::inRange(1, 400) / 10.0;
-			    model.set_limit(std::max(k_least_limit_per_s, limit));
+			    model.set_limit(std::max(k_min_limit_per_s, limit));
 			    model.run(ms(3000), 8.0 * limit + 10.0);
 			    for (int fault = 0; fault < 5; ++fault)
 			    {
@@ -636,7 +638,7 @@
 					    break;
 				    default:
 					    limit = *rc::gen::inRange(1, 400) / 10.0;
-					    model.set_limit(std::max(k_least_limit_per_s, limit));
+					    model.set_limit(std::max(k_min_limit_per_s, limit));
 					    break;
 				    }
 				    model.run(ms(*rc::gen::inRange(1, 10) * 100), 8.0 * limit + 10.0);
--- a/tests/limited_requests_test.cpp
+++ b/tests/limited_requests_test.cpp
@@ -137,7 +137,7 @@
 		backend_record record;
 		static_cast<backend_registration&>(record) = find_backend("b1").registered;
 		record.address = m_backends[0]->address();
-		record.born_ms = 5;
+		record.started_ms = 5;
 		m_registry->put(record, m_clock.steady());
 		CPPUNIT_ASSERT(!find_backend("b1").limit.limited());
 	}
--- a/tests/model_view.h
+++ b/tests/model_view.h
@@ -54,7 +54,7 @@
 	{
 		return {};
 	}
-	rate_by_region bound_of_others(const service_name&) const override
+	rate_by_region single_region_demand_of_others(const service_name&) const override
 	{
 		return {};
 	}
@@ -62,25 +62,25 @@
 	{
 		return {};
 	}
-	double warmup_part(const backend_state&) const override
+	double warmup_share(const backend_state&) const override
 	{
 		return 1.0;
 	}
-	quota_holders holders_of(std::uint64_t _thing) const override
+	responsible_nodes responsible_for(std::uint64_t _thing) const override
 	{
 		return holders_among(m_all, _thing);
 	}
-	nodes_in_sight in_sight() const override
+	live_node_counts live_nodes() const override
 	{
 		return nodes;
 	}
-	quota_holders holders_in(const region_name& _region, std::uint64_t _thing) const override
+	responsible_nodes responsible_in_region(const region_name& _region, std::uint64_t _thing) const override
 	{
 		const auto it = m_by_region.find(_region);
-		return m_by_region.end() == it || it->second.nodes.empty() ? quota_holders()
+		return m_by_region.end() == it || it->second.nodes.empty() ? responsible_nodes()
 		                                                           : holders_among(it->second, _thing);
 	}
-	nodes_in_sight in_sight_of_region() const override
+	live_node_counts live_nodes_of_region() const override
 	{
 		return near;
 	}
@@ -98,8 +98,8 @@
 	}
 
 	int self = 0;
-	nodes_in_sight nodes; ///< Counts of all regions; a test may set other values.
-	nodes_in_sight near;  ///< Counts of this region.
+	live_node_counts nodes; ///< Counts of all regions; a test may set other values.
+	live_node_counts near;  ///< Counts of this region.
 
 private:
 	struct part
@@ -109,11 +109,11 @@
 		bool built = false;
 	};
 
-	quota_holder holder(int _node) const
+	responsible_node holder(int _node) const
 	{
 		return {_node == self ? "" : std::to_string(_node), short_hash(model_name_of(_node))};
 	}
-	quota_holders holders_among(part& _part, std::uint64_t _thing) const
+	responsible_nodes holders_among(part& _part, std::uint64_t _thing) const
 	{
 		if (!_part.built)
 		{
@@ -126,10 +126,10 @@
 			_part.built = true;
 		}
 		const ring_owners owners = _part.ring.owners_of(_thing);
-		quota_holders holders{holder(_part.nodes[owners.first]), {}};
-		if (owners.first != owners.stand_in)
+		responsible_nodes holders{holder(_part.nodes[owners.first]), {}};
+		if (owners.first != owners.backup)
 		{
-			holders.stand_in = holder(_part.nodes[owners.stand_in]);
+			holders.backup = holder(_part.nodes[owners.backup]);
 		}
 		return holders;
 	}
--- a/tests/node_group_fixture.h
+++ b/tests/node_group_fixture.h
@@ -35,14 +35,14 @@
 		}
 		m_ring.build(names);
 	}
-	quota_holders holders_of(std::uint64_t _thing) const override
+	responsible_nodes responsible_for(std::uint64_t _thing) const override
 	{
-		return holders_in(region_name(), _thing);
+		return responsible_in_region(region_name(), _thing);
 	}
-	quota_holders holders_in(const region_name&, std::uint64_t _thing) const override
+	responsible_nodes responsible_in_region(const region_name&, std::uint64_t _thing) const override
 	{
 		const ring_owners owners = m_ring.owners_of(_thing);
-		return {holder(owners.first), holder(owners.stand_in)};
+		return {holder(owners.first), holder(owners.backup)};
 	}
 	std::vector<std::string> region_addresses() const override
 	{
@@ -58,7 +58,7 @@
 	}
 
 private:
-	quota_holder holder(std::size_t _node) const
+	responsible_node holder(std::size_t _node) const
 	{
 		return {_node == m_self ? "" : std::to_string(_node), short_hash(name_of(_node))};
 	}
--- a/tests/quota_model_test.cpp
+++ b/tests/quota_model_test.cpp
@@ -242,7 +242,7 @@
 	int first_lender(std::size_t _customer) const
 	{
 		const model_view& view = *m_nodes.front().view;
-		const std::string ip = view.holders_of(at(_customer).id).first.ip;
+		const std::string ip = view.responsible_for(at(_customer).id).first.ip;
 		return ip.empty() ? view.self : std::stoi(ip);
 	}
 	/// Updates the views of all live nodes on the fleet.
--- a/tests/rest_model_test.cpp
+++ b/tests/rest_model_test.cpp
@@ -118,7 +118,7 @@
 		{
 			const std::size_t server = (begin + i * 7) % k_servers;
 			backend_rest& rest = _known[server].rest;
-			if (!_tried[server] && !rest.resting(m_now) && rest.may_return(share_per_s, m_now))
+			if (!_tried[server] && !rest.resting(m_now) && rest.admits_after_rest(share_per_s, m_now))
 			{
 				return server;
 			}
--- a/tests/resting_requests_test.cpp
+++ b/tests/resting_requests_test.cpp
@@ -168,7 +168,7 @@
 		set_routes();
 		scripted_backend& backend = add_backend("b1");
 		set_pause("b1", ms(3000));
-		m_crashes.decision = block_decision::may_ask;
+		m_crashes.decision = block_decision::may_request_trial;
 		raw_caller caller = call();
 		caller.send(request("GET", "/read/1", "r1"));
 		run_until(*m_context,
@@ -284,7 +284,7 @@
 	{
 		backend_record record;
 		record.id = backend_id("b1");
-		record.born_ms = 1000;
+		record.started_ms = 1000;
 		record.service = service_name("shop");
 		record.domain = domain_name("east-a");
 		m_registry->put(record, m_clock.steady());
@@ -294,7 +294,7 @@
 		CPPUNIT_ASSERT(find_backend("b1").rest.resting(m_clock.steady()));
 		CPPUNIT_ASSERT(!find_backend("b1").usable(m_clock.steady()));
 		m_registry->remove(record.id, m_clock.steady());
-		record.born_ms = 2000; // Restarted.
+		record.started_ms = 2000; // Restarted.
 		m_registry->put(record, m_clock.steady());
 		CPPUNIT_ASSERT(find_backend("b1").usable(m_clock.steady()));
 		record.id = backend_id("b2"); // Another backend server at the same address.
--- a/tests/rollout_model_test.cpp
+++ b/tests/rollout_model_test.cpp
@@ -27,17 +27,17 @@
 class fleet_view_fake : public fleet_view_alone
 {
 public:
-	quota_holders holders_of(std::uint64_t) const override
+	responsible_nodes responsible_for(std::uint64_t) const override
 	{
 		return deciders;
 	}
-	nodes_in_sight in_sight() const override
+	live_node_counts live_nodes() const override
 	{
 		return sight;
 	}
 
-	quota_holders deciders;
-	nodes_in_sight sight;
+	responsible_nodes deciders;
+	live_node_counts sight;
 };
 
 /// Simulates a fleet whose nodes all get the same number of requests.
@@ -209,10 +209,10 @@
 			view.sight = {static_cast<double>(seen.size()), static_cast<double>(m_nodes.size()), 0};
 			const auto holder = [self](int _node)
 			{
-				return quota_holder{
+				return responsible_node{
 				    _node == self ? "" : std::to_string(_node), static_cast<std::uint32_t>(_node + 1)};
 			};
-			view.deciders = {holder(seen[0]), seen.size() > 1 ? holder(seen[1]) : quota_holder{}};
+			view.deciders = {holder(seen[0]), seen.size() > 1 ? holder(seen[1]) : responsible_node{}};
 		}
 	}
 
--- a/tests/state_replica_test.cpp
+++ b/tests/state_replica_test.cpp
@@ -63,7 +63,7 @@
 		backend_record record;
 		record.id = backend_id(name_of(_key));
 		const std::size_t born = _value.find('@');
-		record.born_ms = std::string::npos == born ? 0 : std::stoll(_value.substr(born + 1));
+		record.started_ms = std::string::npos == born ? 0 : std::stoll(_value.substr(born + 1));
 		record.service = service_name("shop");
 		record.domain = domain_name("east-a");
 		record.draining = 0 == _value.rfind("draining", 0);
@@ -794,7 +794,8 @@
 			}
 			wait(9100);
 			CPPUNIT_ASSERT(is_usable("b1"));
-			CPPUNIT_ASSERT_EQUAL(std::int64_t(2000), m_registry->find(backend_id("b1"))->registered.born_ms);
+			CPPUNIT_ASSERT_EQUAL(
+			    std::int64_t(2000), m_registry->find(backend_id("b1"))->registered.started_ms);
 		} while (std::next_permutation(order.begin(), order.end()));
 	}
 
--- a/tests/steering_attempt_rules_test.cpp
+++ b/tests/steering_attempt_rules_test.cpp
@@ -50,104 +50,107 @@
 
 	void rule_served_or_failed_at_most_once_forwards_the_response()
 	{
-		CPPUNIT_ASSERT(attempt_end::served == end_of_answer(499));
-		CPPUNIT_ASSERT(attempt_end::failed == end_of_answer(500));
-		CPPUNIT_ASSERT(rule_after(attempt_end::served, k_at_most_once).pass_answer_on);
-		CPPUNIT_ASSERT(rule_after(attempt_end::served, k_repeatable).pass_answer_on);
-		CPPUNIT_ASSERT(rule_after(attempt_end::failed, k_at_most_once).pass_answer_on);
+		CPPUNIT_ASSERT(attempt_end::served == attempt_end_of_status(499));
+		CPPUNIT_ASSERT(attempt_end::failed == attempt_end_of_status(500));
+		CPPUNIT_ASSERT(attempt_rule_for(attempt_end::served, k_at_most_once).forward_response);
+		CPPUNIT_ASSERT(attempt_rule_for(attempt_end::served, k_repeatable).forward_response);
+		CPPUNIT_ASSERT(attempt_rule_for(attempt_end::failed, k_at_most_once).forward_response);
 	}
 
 	void rule_failed_repeatable_keeps_the_response_and_costs_a_retry()
 	{
-		const attempt_rule& rule = rule_after(attempt_end::failed, k_repeatable);
-		CPPUNIT_ASSERT(!rule.pass_answer_on && rule.keep_answer);
-		CPPUNIT_ASSERT(resend_price::retry_budget == rule.price);
+		const attempt_rule& rule = attempt_rule_for(attempt_end::failed, k_repeatable);
+		CPPUNIT_ASSERT(!rule.forward_response && rule.keep_response);
+		CPPUNIT_ASSERT(retry_allowance::retry_budget == rule.allowance);
 		attempt_history history_so_far;
 		history_so_far.count(rule);
 		CPPUNIT_ASSERT(1 == history_so_far.reached && 0 == history_so_far.unsent &&
-		               history_so_far.may_have_run && history_so_far.answer_kept);
+		               history_so_far.may_have_run && history_so_far.response_kept);
 	}
 
 	void rule_lost_at_most_once_never_permits_another_attempt()
 	{
-		const attempt_rule& rule = rule_after(attempt_end::lost, k_at_most_once);
-		CPPUNIT_ASSERT(resend_price::never == rule.price && rule.may_have_run);
+		const attempt_rule& rule = attempt_rule_for(attempt_end::lost, k_at_most_once);
+		CPPUNIT_ASSERT(retry_allowance::never == rule.allowance && rule.may_have_run);
 		CPPUNIT_ASSERT(reason::lost_answer == rule.why);
 	}
 
 	void rule_lost_repeatable_costs_a_retry()
 	{
-		const attempt_rule& rule = rule_after(attempt_end::lost, k_repeatable);
-		CPPUNIT_ASSERT(resend_price::retry_budget == rule.price && rule.may_have_run && rule.reached);
+		const attempt_rule& rule = attempt_rule_for(attempt_end::lost, k_repeatable);
+		CPPUNIT_ASSERT(retry_allowance::retry_budget == rule.allowance && rule.may_have_run && rule.reached);
 	}
 
 	void rule_not_run_may_be_retried_on_every_route()
 	{
 		for (const repeat_rule repeat : {k_at_most_once, k_repeatable})
 		{
-			const attempt_rule& rule = rule_after(attempt_end::not_run, repeat);
-			CPPUNIT_ASSERT(resend_price::retry_budget == rule.price);
+			const attempt_rule& rule = attempt_rule_for(attempt_end::not_run, repeat);
+			CPPUNIT_ASSERT(retry_allowance::retry_budget == rule.allowance);
 			CPPUNIT_ASSERT(rule.reached && !rule.may_have_run && reason::shed == rule.why);
 		}
 	}
 
 	void rule_not_sent_is_free_twice()
 	{
-		const attempt_rule& rule = rule_after(attempt_end::not_sent, k_at_most_once);
+		const attempt_rule& rule = attempt_rule_for(attempt_end::not_sent, k_at_most_once);
 		CPPUNIT_ASSERT(!rule.reached && !rule.may_have_run && reason::unreachable == rule.why);
 		attempt_history history_so_far;
 		history_so_far.count(rule);
-		CPPUNIT_ASSERT(may_resend_free(rule, history_so_far));
+		CPPUNIT_ASSERT(may_retry_free(rule, history_so_far));
 		history_so_far.count(rule);
-		CPPUNIT_ASSERT(may_resend_free(rule, history_so_far));
+		CPPUNIT_ASSERT(may_retry_free(rule, history_so_far));
 		history_so_far.count(rule);
-		CPPUNIT_ASSERT(!may_resend_free(rule, history_so_far));
-		CPPUNIT_ASSERT(!may_resend_free(rule_after(attempt_end::not_run, k_at_most_once), attempt_history()));
+		CPPUNIT_ASSERT(!may_retry_free(rule, history_so_far));
+		CPPUNIT_ASSERT(
+		    !may_retry_free(attempt_rule_for(attempt_end::not_run, k_at_most_once), attempt_history()));
 	}
 
 	void retry_attempts_exhausted_or_deadline_exceeded_is_denied()
 	{
-		CPPUNIT_ASSERT(resend::within_budget == may_resend(history(2, 0), 3, m_now, m_deadline));
-		CPPUNIT_ASSERT(resend::attempts_spent == may_resend(history(3, 0), 3, m_now, m_deadline));
-		CPPUNIT_ASSERT(resend::deadline_exceeded == may_resend(history(2, 0), 3, m_deadline, m_deadline));
+		CPPUNIT_ASSERT(retry_permission::needs_budget == may_retry(history(2, 0), 3, m_now, m_deadline));
+		CPPUNIT_ASSERT(
+		    retry_permission::attempts_exhausted == may_retry(history(3, 0), 3, m_now, m_deadline));
+		CPPUNIT_ASSERT(
+		    retry_permission::deadline_exceeded == may_retry(history(2, 0), 3, m_deadline, m_deadline));
 	}
 
 	void retry_request_not_reached_any_server_is_free_until_three_were_unsent()
 	{
-		CPPUNIT_ASSERT(resend::free == may_resend(history(0, 2), 1, m_now, m_deadline));
-		CPPUNIT_ASSERT(resend::unsent_exhausted == may_resend(history(0, 3), 1, m_now, m_deadline));
-		CPPUNIT_ASSERT(resend::within_budget == may_resend(history(1, 3), 2, m_now, m_deadline));
+		CPPUNIT_ASSERT(retry_permission::free == may_retry(history(0, 2), 1, m_now, m_deadline));
+		CPPUNIT_ASSERT(retry_permission::unsent_exhausted == may_retry(history(0, 3), 1, m_now, m_deadline));
+		CPPUNIT_ASSERT(retry_permission::needs_budget == may_retry(history(1, 3), 2, m_now, m_deadline));
 	}
 
 	void end_kept_response_takes_precedence_over_unknown_and_refusal()
 	{
 		attempt_history history_so_far = history(2, 0, true);
-		history_so_far.answer_kept = true;
-		const final_answer end = answer_without_resend(history_so_far, reason::shed);
-		CPPUNIT_ASSERT(end.kept_answer && outcome::served == end.end && reason::none == end.why);
+		history_so_far.response_kept = true;
+		const final_response end = response_without_retry(history_so_far, reason::shed);
+		CPPUNIT_ASSERT(end.kept_response && outcome::served == end.end && reason::none == end.why);
 	}
 
 	void end_may_have_run_is_unknown_even_after_a_shed_attempt()
 	{
-		const final_answer end = answer_without_resend(history(2, 0, true), reason::shed);
-		CPPUNIT_ASSERT(!end.kept_answer && outcome::unknown == end.end && reason::shed == end.why);
+		const final_response end = response_without_retry(history(2, 0, true), reason::shed);
+		CPPUNIT_ASSERT(!end.kept_response && outcome::unknown == end.end && reason::shed == end.why);
 		CPPUNIT_ASSERT_EQUAL(502U, end.status);
 	}
 
 	void end_request_not_run_is_refused()
 	{
-		const final_answer end = answer_without_resend(history(1, 2), reason::unreachable);
+		const final_response end = response_without_retry(history(1, 2), reason::unreachable);
 		CPPUNIT_ASSERT(outcome::not_run == end.end && reason::unreachable == end.why);
 		CPPUNIT_ASSERT_EQUAL(503U, end.status);
 	}
 
 	void deadline_sent_or_run_is_unknown_else_refused()
 	{
-		const final_answer sent = answer_at_deadline(history(0, 0), true);
+		const final_response sent = response_at_deadline(history(0, 0), true);
 		CPPUNIT_ASSERT(outcome::unknown == sent.end && reason::deadline == sent.why);
 		CPPUNIT_ASSERT_EQUAL(504U, sent.status);
-		CPPUNIT_ASSERT(outcome::unknown == answer_at_deadline(history(1, 0, true), false).end);
-		const final_answer unsent = answer_at_deadline(history(1, 1), false);
+		CPPUNIT_ASSERT(outcome::unknown == response_at_deadline(history(1, 0, true), false).end);
+		const final_response unsent = response_at_deadline(history(1, 1), false);
 		CPPUNIT_ASSERT(outcome::not_run == unsent.end && reason::deadline == unsent.why);
 		CPPUNIT_ASSERT_EQUAL(503U, unsent.status);
 	}
--- a/tests/steering_backend_choice_test.cpp
+++ b/tests/steering_backend_choice_test.cpp
@@ -21,7 +21,7 @@
 class equal_warmup_share : public warmup_sharing_base
 {
 public:
-	double warmup_part(const backend_state&) const override
+	double warmup_share(const backend_state&) const override
 	{
 		return 1.0 / 3.0;
 	}
@@ -174,7 +174,7 @@
 		}
 		std::set<std::string> used;
 		backend_query frequent = query(7);
-		frequent.key_part = 0.25;
+		frequent.key_share = 0.25;
 		while (backend_state* backend = select(frequent))
 		{
 			used.insert(backend->registered.id.text);
@@ -353,7 +353,7 @@
 
 	void choice_made_has_a_reason()
 	{
-		CPPUNIT_ASSERT(backend_choice_reason::own_of_key == reason_for(query(7)));
+		CPPUNIT_ASSERT(backend_choice_reason::preferred_for_key == reason_for(query(7)));
 		CPPUNIT_ASSERT(backend_choice_reason::least_load == reason_for(query(0)));
 		fill(select(query(7)), 6);
 		CPPUNIT_ASSERT(backend_choice_reason::idle_for_key == reason_for(query(7)));
@@ -377,7 +377,7 @@
 			fill(backend, 6);
 		}
 		CPPUNIT_ASSERT(backend_choice_reason::no_slot == reason_for(query(0)));
-		CPPUNIT_ASSERT(backend_choice_reason::not_own_of_key == reason_for(query(7)));
+		CPPUNIT_ASSERT(backend_choice_reason::not_preferred_for_key == reason_for(query(7)));
 	}
 
 	void choice_large_response_prefers_the_near_domain()
@@ -463,7 +463,7 @@
 		report_limit(*first);
 		m_tokens.answer = quota_answer::waits;
 		backend_query may_wait = query_with_tokens(7);
-		may_wait.waits_for_token = true;
+		may_wait.may_wait_for_token = true;
 		const backend_choice choice = choose_backend(may_wait, m_warmup, m_now);
 		CPPUNIT_ASSERT(first == choice.backend && backend_choice_reason::awaits_token == choice.why);
 		CPPUNIT_ASSERT(first != select(query_with_tokens(7)));
@@ -538,7 +538,7 @@
 		m_registry->find(backend_id("s7"))->rest.hear(std::chrono::seconds(1), m_now);
 		const backend_choice none = choose_backend(query(0), m_warmup, m_now);
 		CPPUNIT_ASSERT(backend_choice_reason::all_resting == none.why);
-		CPPUNIT_ASSERT(m_now + std::chrono::seconds(1) == none.back_at);
+		CPPUNIT_ASSERT(m_now + std::chrono::seconds(1) == none.available_at);
 		const auto resting = time_of_a_choice();
 		std::cout << "choice among 20,000: " << usable.count() / 1000 << " us, all resting "
 		          << resting.count() / 1000 << " us\n";
--- a/tests/steering_backend_limit_test.cpp
+++ b/tests/steering_backend_limit_test.cpp
@@ -20,7 +20,7 @@
 	CPPUNIT_TEST_SUITE_END();
 
 protected:
-	static std::optional<limit_word> parse(const char* _text)
+	static std::optional<limit_report> parse(const char* _text)
 	{
 		return parse_limit(_text, k_now);
 	}
@@ -29,7 +29,7 @@
 	{
 		CPPUNIT_ASSERT_EQUAL(2.9, *parse("2.9")->per_s);
 		CPPUNIT_ASSERT_EQUAL(5.0, *parse("5")->per_s);
-		CPPUNIT_ASSERT(k_now == parse("5")->said_at);
+		CPPUNIT_ASSERT(k_now == parse("5")->report_time);
 	}
 
 	void text_that_is_not_a_number_is_ignored()
@@ -42,14 +42,14 @@
 
 	void number_out_of_range_becomes_the_nearest_limit_that_is_enforced()
 	{
-		CPPUNIT_ASSERT_EQUAL(k_least_limit_per_s, *parse("0")->per_s);
-		CPPUNIT_ASSERT_EQUAL(k_least_limit_per_s, *parse("0.0000001")->per_s);
+		CPPUNIT_ASSERT_EQUAL(k_min_limit_per_s, *parse("0")->per_s);
+		CPPUNIT_ASSERT_EQUAL(k_min_limit_per_s, *parse("0.0000001")->per_s);
 		CPPUNIT_ASSERT(!parse("10000000000")->per_s);
 	}
 
 	void newest_report_holds_in_any_order_of_arrival()
 	{
-		named_limit limit;
+		reported_limit limit;
 		CPPUNIT_ASSERT(!limit.limited());
 		CPPUNIT_ASSERT(limit.hear({5.0, k_now}));
 		CPPUNIT_ASSERT(!limit.hear({7.0, k_now - std::chrono::milliseconds(1)}));
--- a/tests/steering_backend_rest_test.cpp
+++ b/tests/steering_backend_rest_test.cpp
@@ -47,7 +47,7 @@
 
 	void rest_above_the_maximum_is_cut_to_an_hour()
 	{
-		CPPUNIT_ASSERT(k_longest_rest == parse_rest("1000000000"));
+		CPPUNIT_ASSERT(k_max_rest == parse_rest("1000000000"));
 	}
 
 	void shorter_rest_after_a_longer_one_does_not_end_it()
@@ -99,17 +99,17 @@
 		std::vector<ms> sent;
 		for (ms now(700); now < ms(1700); now += ms(1))
 		{
-			if (rest.may_return(k_share, at(now)))
+			if (rest.admits_after_rest(k_share, at(now)))
 			{
 				sent.push_back(now);
 			}
 		}
 		CPPUNIT_ASSERT(ms(700) == sent.front());
-		CPPUNIT_ASSERT(sent.at(1) >= ms(700) + k_look_time); // Time for the probe to be refused.
+		CPPUNIT_ASSERT(sent.at(1) >= ms(700) + k_probe_time); // Time for the probe to be refused.
 		CPPUNIT_ASSERT(sent.size() <= k_share + 1);
 		CPPUNIT_ASSERT(sent.size() >= k_share * 8 / 10);
-		CPPUNIT_ASSERT(rest.may_return(k_share, at(ms(1700)))); // The ramp-up is over.
-		CPPUNIT_ASSERT(rest.may_return(k_share, at(ms(1700))));
+		CPPUNIT_ASSERT(rest.admits_after_rest(k_share, at(ms(1700)))); // The ramp-up is over.
+		CPPUNIT_ASSERT(rest.admits_after_rest(k_share, at(ms(1700))));
 	}
 
 	void backend_server_that_never_rested_is_not_limited()
@@ -117,7 +117,7 @@
 		backend_rest rest;
 		for (int i = 0; i < 100; ++i)
 		{
-			CPPUNIT_ASSERT(rest.may_return(0.0, at(ms(0))));
+			CPPUNIT_ASSERT(rest.admits_after_rest(0.0, at(ms(0))));
 		}
 	}
 
