--- a/tests/steering_crash_test.cpp
+++ b/tests/steering_crash_test.cpp
@@ -24,7 +24,7 @@
 	return {_number, _number, _caller};
 }
 
-backend_end crash_of(std::uint32_t _life, std::uint32_t _caller = k_first_caller)
+crash_record crash_of(std::uint32_t _life, std::uint32_t _caller = k_first_caller)
 {
 	return {_life, _caller, false, k_begin};
 }
@@ -77,13 +77,13 @@
 	void request_that_three_servers_crashed_under_is_blamed()
 	{
 		crash_evidence evidence;
-		CPPUNIT_ASSERT(!evidence.on_end(request_of(1), crash_of(1)));
-		CPPUNIT_ASSERT(!evidence.on_end(request_of(2), crash_of(1)));
-		CPPUNIT_ASSERT(!evidence.on_end(request_of(1), crash_of(2)));
-		CPPUNIT_ASSERT(request_of(1) == *evidence.on_end(request_of(1), crash_of(3)));
-		CPPUNIT_ASSERT_EQUAL(std::size_t(3), evidence.ends_of(request_of(1)));
-		CPPUNIT_ASSERT_EQUAL(std::size_t(1), evidence.ends_of(request_of(2)));
-		CPPUNIT_ASSERT_EQUAL(std::size_t(0), evidence.ends_of(request_of(1, k_other_caller)));
+		CPPUNIT_ASSERT(!evidence.on_crash(request_of(1), crash_of(1)));
+		CPPUNIT_ASSERT(!evidence.on_crash(request_of(2), crash_of(1)));
+		CPPUNIT_ASSERT(!evidence.on_crash(request_of(1), crash_of(2)));
+		CPPUNIT_ASSERT(request_of(1) == *evidence.on_crash(request_of(1), crash_of(3)));
+		CPPUNIT_ASSERT_EQUAL(std::size_t(3), evidence.crash_count(request_of(1)));
+		CPPUNIT_ASSERT_EQUAL(std::size_t(1), evidence.crash_count(request_of(2)));
+		CPPUNIT_ASSERT_EQUAL(std::size_t(0), evidence.crash_count(request_of(1, k_other_caller)));
 	}
 
 	void crash_reported_several_times_counts_once()
@@ -91,28 +91,28 @@
 		crash_evidence evidence;
 		for (int report = 0; report < 10; ++report)
 		{
-			CPPUNIT_ASSERT(!evidence.on_end(request_of(1), crash_of(1)));
-			CPPUNIT_ASSERT(!evidence.on_end(request_of(1), crash_of(2)));
+			CPPUNIT_ASSERT(!evidence.on_crash(request_of(1), crash_of(1)));
+			CPPUNIT_ASSERT(!evidence.on_crash(request_of(1), crash_of(2)));
 		}
 	}
 
 	void request_that_was_served_meanwhile_is_not_blamed()
 	{
 		crash_evidence evidence;
-		evidence.on_end(request_of(1), crash_of(1));
-		evidence.on_end(request_of(1), crash_of(2));
+		evidence.on_crash(request_of(1), crash_of(1));
+		evidence.on_crash(request_of(1), crash_of(2));
 		evidence.on_served(request_of(1));
 		CPPUNIT_ASSERT(evidence.empty());
 		CPPUNIT_ASSERT(!evidence.suspects(1));
-		CPPUNIT_ASSERT(!evidence.on_end(request_of(1), crash_of(3)));
+		CPPUNIT_ASSERT(!evidence.on_crash(request_of(1), crash_of(3)));
 	}
 
 	void request_of_several_callers_is_blamed_for_all()
 	{
 		crash_evidence evidence;
-		evidence.on_end(request_of(1, 1), crash_of(1, 1));
-		evidence.on_end(request_of(1, 2), crash_of(2, 2));
-		const auto blamed = evidence.on_end(request_of(1, 3), crash_of(3, 3));
+		evidence.on_crash(request_of(1, 1), crash_of(1, 1));
+		evidence.on_crash(request_of(1, 2), crash_of(2, 2));
+		const auto blamed = evidence.on_crash(request_of(1, 3), crash_of(3, 3));
 		CPPUNIT_ASSERT(request_of(1, k_any_caller) == *blamed);
 	}
 
@@ -121,21 +121,21 @@
 		crash_evidence evidence;
 		for (std::uint32_t caller = 1; caller <= 5; ++caller)
 		{
-			backend_end end = crash_of(caller, caller);
+			crash_record end = crash_of(caller, caller);
 			end.caller_only = true;
-			CPPUNIT_ASSERT(!evidence.on_end(request_of(1, caller), end));
+			CPPUNIT_ASSERT(!evidence.on_crash(request_of(1, caller), end));
 		}
-		evidence.on_end(request_of(1, 1), crash_of(8, 1));
-		CPPUNIT_ASSERT(request_of(1, 1) == *evidence.on_end(request_of(1, 1), crash_of(9, 1)));
+		evidence.on_crash(request_of(1, 1), crash_of(8, 1));
+		CPPUNIT_ASSERT(request_of(1, 1) == *evidence.on_crash(request_of(1, 1), crash_of(9, 1)));
 	}
 
 	void crash_that_expired_is_forgotten()
 	{
 		crash_evidence evidence;
-		evidence.on_end(request_of(1), crash_of(1));
-		evidence.tick(k_begin + k_end_kept);
+		evidence.on_crash(request_of(1), crash_of(1));
+		evidence.tick(k_begin + k_crash_retention);
 		CPPUNIT_ASSERT(!evidence.empty());
-		evidence.tick(k_begin + k_end_kept + std::chrono::milliseconds(1));
+		evidence.tick(k_begin + k_crash_retention + std::chrono::milliseconds(1));
 		CPPUNIT_ASSERT(evidence.empty());
 	}
 
@@ -144,14 +144,14 @@
 		crash_evidence evidence;
 		for (std::uint64_t number = 1; number <= 100000; ++number)
 		{
-			evidence.on_end(request_of(number), crash_of(1));
+			evidence.on_crash(request_of(number), crash_of(1));
 		}
 		std::size_t remembered = 0;
 		for (std::uint64_t number = 1; number <= 100000; ++number)
 		{
 			remembered += evidence.suspects(number) ? 1 : 0;
 		}
-		CPPUNIT_ASSERT_EQUAL(k_most_suspects, remembered);
+		CPPUNIT_ASSERT_EQUAL(k_max_suspects, remembered);
 		CPPUNIT_ASSERT(evidence.suspects(100000));
 	}
 
@@ -161,25 +161,26 @@
 		CPPUNIT_ASSERT(block_decision::open == blocked.decide(request_of(1), 7, k_begin));
 		blocked.take(block_of(1), k_begin);
 		CPPUNIT_ASSERT(blocked.may_match(1));
-		CPPUNIT_ASSERT(block_decision::may_ask == blocked.decide(request_of(1), 7, k_begin));
+		CPPUNIT_ASSERT(block_decision::may_request_trial == blocked.decide(request_of(1), 7, k_begin));
 		CPPUNIT_ASSERT(block_decision::open == blocked.decide(request_of(1, k_other_caller), 7, k_begin));
-		CPPUNIT_ASSERT(blocked.grant_look(request_of(1), 7, k_begin));
+		CPPUNIT_ASSERT(blocked.grant_trial(request_of(1), 7, k_begin));
 		CPPUNIT_ASSERT(block_decision::refuse == blocked.decide(request_of(1), 7, k_begin));
-		CPPUNIT_ASSERT(!blocked.grant_look(request_of(1), 7, k_begin + std::chrono::hours(1)));
+		CPPUNIT_ASSERT(!blocked.grant_trial(request_of(1), 7, k_begin + std::chrono::hours(1)));
 	}
 
 	void blocked_request_gets_another_trial_only_after_a_release()
 	{
 		blocked_requests blocked;
 		blocked.take(block_of(1), k_begin);
-		blocked.grant_look(request_of(1), 7, k_begin);
-		CPPUNIT_ASSERT(!blocked.grant_look(request_of(1), 8, k_begin + std::chrono::seconds(1)));
-		const steady_time later = k_begin + k_look_pause;
-		CPPUNIT_ASSERT(!blocked.grant_look(request_of(1), 7, later));
-		CPPUNIT_ASSERT(blocked.grant_look(request_of(1), 8, later));
+		blocked.grant_trial(request_of(1), 7, k_begin);
+		CPPUNIT_ASSERT(!blocked.grant_trial(request_of(1), 8, k_begin + std::chrono::seconds(1)));
+		const steady_time later = k_begin + k_trial_interval;
+		CPPUNIT_ASSERT(!blocked.grant_trial(request_of(1), 7, later));
+		CPPUNIT_ASSERT(blocked.grant_trial(request_of(1), 8, later));
 		for (std::uint32_t versions = 9; versions < 20; ++versions)
 		{
-			CPPUNIT_ASSERT(!blocked.grant_look(request_of(1), versions, later + versions * k_look_pause));
+			CPPUNIT_ASSERT(
+			    !blocked.grant_trial(request_of(1), versions, later + versions * k_trial_interval));
 		}
 	}
 
@@ -187,10 +188,10 @@
 	{
 		blocked_requests blocked;
 		blocked.take(block_of(1), k_begin);
-		blocked.grant_look(request_of(1), 7, k_begin);
-		CPPUNIT_ASSERT_EQUAL(0U, blocked.return_look(request_of(1), k_begin)->looks);
-		CPPUNIT_ASSERT(!blocked.return_look(request_of(1), k_begin));
-		CPPUNIT_ASSERT(blocked.grant_look(request_of(1), 7, k_begin));
+		blocked.grant_trial(request_of(1), 7, k_begin);
+		CPPUNIT_ASSERT_EQUAL(0U, blocked.return_trial(request_of(1), k_begin)->trials);
+		CPPUNIT_ASSERT(!blocked.return_trial(request_of(1), k_begin));
+		CPPUNIT_ASSERT(blocked.grant_trial(request_of(1), 7, k_begin));
 	}
 
 	void change_that_is_older_is_ignored()
@@ -221,12 +222,12 @@
 	{
 		blocked_requests blocked;
 		blocked.take(block_of(1), k_begin);
-		const steady_time last = k_begin + k_block_kept;
+		const steady_time last = k_begin + k_block_retention;
 		CPPUNIT_ASSERT(blocked.tick(last).empty());
 		blocked.decide(request_of(1), 7, last);
-		CPPUNIT_ASSERT(blocked.tick(last + k_block_kept).empty());
+		CPPUNIT_ASSERT(blocked.tick(last + k_block_retention).empty());
 		CPPUNIT_ASSERT_EQUAL(
-		    std::size_t(1), blocked.tick(last + k_block_kept + std::chrono::milliseconds(1)).size());
+		    std::size_t(1), blocked.tick(last + k_block_retention + std::chrono::milliseconds(1)).size());
 		CPPUNIT_ASSERT(!blocked.may_match(1));
 	}
 
@@ -234,14 +235,14 @@
 	{
 		blocked_requests blocked;
 		request_block block = block_of(1);
-		for (std::uint64_t number = 1; number <= k_most_blocked + 100; ++number)
+		for (std::uint64_t number = 1; number <= k_max_blocked + 100; ++number)
 		{
 			const steady_time now = k_begin + std::chrono::milliseconds(number);
 			block.request = request_of(number);
 			blocked.take(block, now);
 			blocked.decide(request_of(1), 7, now);
 		}
-		CPPUNIT_ASSERT_EQUAL(k_most_blocked, blocked.size());
+		CPPUNIT_ASSERT_EQUAL(k_max_blocked, blocked.size());
 		CPPUNIT_ASSERT(nullptr != blocked.find(request_of(1)));
 		CPPUNIT_ASSERT(nullptr == blocked.find(request_of(2)));
 	}
--- a/tests/steering_customer_test.cpp
+++ b/tests/steering_customer_test.cpp
@@ -171,11 +171,12 @@
 	void home_regions_of_route_and_customer_are_intersected()
 	{
 		using names = std::vector<std::string>;
-		CPPUNIT_ASSERT(common_homes({}, {}).regions.empty() && !common_homes({}, {}).none_left);
-		CPPUNIT_ASSERT(names{"east"} == common_homes({"east"}, {}).regions);
-		CPPUNIT_ASSERT(names{"west"} == common_homes({}, {"west"}).regions);
-		CPPUNIT_ASSERT(names{"west"} == common_homes({"east", "west"}, {"west", "north"}).regions);
-		const home_regions apart = common_homes({"east"}, {"west"});
+		CPPUNIT_ASSERT(
+		    intersect_home_regions({}, {}).regions.empty() && !intersect_home_regions({}, {}).none_left);
+		CPPUNIT_ASSERT(names{"east"} == intersect_home_regions({"east"}, {}).regions);
+		CPPUNIT_ASSERT(names{"west"} == intersect_home_regions({}, {"west"}).regions);
+		CPPUNIT_ASSERT(names{"west"} == intersect_home_regions({"east", "west"}, {"west", "north"}).regions);
+		const home_regions apart = intersect_home_regions({"east"}, {"west"});
 		CPPUNIT_ASSERT(apart.none_left && apart.regions.empty());
 	}
 };
--- a/tests/steering_entry_removal_test.cpp
+++ b/tests/steering_entry_removal_test.cpp
@@ -56,21 +56,21 @@
 	void vanished_during_an_outage_is_removed_two_seconds_after_its_end()
 	{
 		m_removal.on_store_lost(at(0));
-		m_removal.on_store_regained(at(3000));
+		m_removal.on_store_recovered(at(3000));
 		expect(removal_reason::store_recovered, 5000, 2500);
 	}
 
 	void vanished_during_a_long_outage_is_not_kept_longer_after_its_end()
 	{
 		m_removal.on_store_lost(at(0));
-		m_removal.on_store_regained(at(60000));
+		m_removal.on_store_recovered(at(60000));
 		expect(removal_reason::store_recovered, 7000, 1000);
 	}
 
 	void vanished_long_after_an_outage_is_removed_after_half_a_second()
 	{
 		m_removal.on_store_lost(at(0));
-		m_removal.on_store_regained(at(3000));
+		m_removal.on_store_recovered(at(3000));
 		expect(removal_reason::vanished, 9500, 9000);
 	}
 
@@ -83,7 +83,7 @@
 	void outage_shorter_than_a_second_changes_nothing()
 	{
 		m_removal.on_store_lost(at(0));
-		m_removal.on_store_regained(at(999));
+		m_removal.on_store_recovered(at(999));
 		expect(removal_reason::vanished, 1500, 1000);
 	}
 
@@ -91,8 +91,8 @@
 	{
 		m_removal.on_store_lost(at(0));
 		m_removal.on_store_lost(at(900));
-		m_removal.on_store_regained(at(1500));
-		m_removal.on_store_regained(at(9000));
+		m_removal.on_store_recovered(at(1500));
+		m_removal.on_store_recovered(at(9000));
 		expect(removal_reason::store_recovered, 3500, 1000);
 	}
 
--- a/tests/steering_news_spread_test.cpp
+++ b/tests/steering_news_spread_test.cpp
@@ -51,19 +51,20 @@
 
 	void few_changes_are_sent_and_many_announced()
 	{
-		CPPUNIT_ASSERT(telling::announcement == plan_telling(0, true));
-		CPPUNIT_ASSERT(telling::datagrams == plan_telling(1, true));
-		CPPUNIT_ASSERT(telling::datagrams == plan_telling(6, true));
-		CPPUNIT_ASSERT(telling::announcement == plan_telling(7, true));
-		CPPUNIT_ASSERT(telling::datagrams == plan_telling(7, false));
-		CPPUNIT_ASSERT(telling::announcement == plan_telling(0, false));
+		CPPUNIT_ASSERT(change_delivery::announcement == choose_change_delivery(0, true));
+		CPPUNIT_ASSERT(change_delivery::datagrams == choose_change_delivery(1, true));
+		CPPUNIT_ASSERT(change_delivery::datagrams == choose_change_delivery(6, true));
+		CPPUNIT_ASSERT(change_delivery::announcement == choose_change_delivery(7, true));
+		CPPUNIT_ASSERT(change_delivery::datagrams == choose_change_delivery(7, false));
+		CPPUNIT_ASSERT(change_delivery::announcement == choose_change_delivery(0, false));
 	}
 
 	void small_fleet_is_sent_changes_directly()
 	{
 		const std::vector<node_heartbeat> nodes = region_of(9, 3);
-		CPPUNIT_ASSERT_EQUAL(std::size_t(8), first_told(nodes[0], others(nodes, nodes[0]), false).size());
-		CPPUNIT_ASSERT(!tells_on(nodes[0], &nodes[1], false));
+		CPPUNIT_ASSERT_EQUAL(
+		    std::size_t(8), change_recipients(nodes[0], others(nodes, nodes[0]), false).size());
+		CPPUNIT_ASSERT(!forwards_changes(nodes[0], &nodes[1], false));
 	}
 
 	void large_region_is_fully_reached_with_few_datagrams_of_each_node()
@@ -71,12 +72,13 @@
 		const std::vector<node_heartbeat> nodes = region_of(98, 3);
 		const node_heartbeat& reader = nodes[0];
 		std::set<std::string> reached{reader.node.text};
-		const std::vector<const node_heartbeat*> first = first_told(reader, others(nodes, reader), true);
+		const std::vector<const node_heartbeat*> first =
+		    change_recipients(reader, others(nodes, reader), true);
 		CPPUNIT_ASSERT(first.size() <= 36);
 		for (const node_heartbeat* recipient : first)
 		{
 			reached.insert(recipient->node.text);
-			if (!tells_on(*recipient, &reader, true))
+			if (!forwards_changes(*recipient, &reader, true))
 			{
 				continue;
 			}
@@ -102,7 +104,7 @@
 		for (std::size_t reader = 0; reader < 30; reader += 3)
 		{
 			for (const node_heartbeat* recipient :
-			    first_told(nodes[reader], others(nodes, nodes[reader]), true))
+			    change_recipients(nodes[reader], others(nodes, nodes[reader]), true))
 			{
 				if (recipient->domain == nodes[1].domain)
 				{
@@ -116,11 +118,11 @@
 	void changes_from_the_own_failure_domain_or_unknown_senders_are_not_forwarded()
 	{
 		std::vector<node_heartbeat> nodes = region_of(6, 3);
-		CPPUNIT_ASSERT(tells_on(nodes[0], &nodes[1], true));
-		CPPUNIT_ASSERT(!tells_on(nodes[0], &nodes[3], true));
-		CPPUNIT_ASSERT(!tells_on(nodes[0], nullptr, true));
+		CPPUNIT_ASSERT(forwards_changes(nodes[0], &nodes[1], true));
+		CPPUNIT_ASSERT(!forwards_changes(nodes[0], &nodes[3], true));
+		CPPUNIT_ASSERT(!forwards_changes(nodes[0], nullptr, true));
 		nodes[1].region = region_name("west");
-		CPPUNIT_ASSERT(!tells_on(nodes[0], &nodes[1], true));
+		CPPUNIT_ASSERT(!forwards_changes(nodes[0], &nodes[1], true));
 	}
 };
 
--- a/tests/steering_nodes_test.cpp
+++ b/tests/steering_nodes_test.cpp
@@ -207,9 +207,9 @@
 	void divisor_in_a_small_fleet_is_one_and_four_for_far_nodes()
 	{
 		const node_liveness liveness(2, 8);
-		CPPUNIT_ASSERT_EQUAL(1, liveness.rounds(proximity::region));
-		CPPUNIT_ASSERT_EQUAL(4, liveness.rounds(proximity::far));
-		CPPUNIT_ASSERT(!liveness.tells_neighbours());
+		CPPUNIT_ASSERT_EQUAL(1, liveness.heartbeat_divisor(proximity::region));
+		CPPUNIT_ASSERT_EQUAL(4, liveness.heartbeat_divisor(proximity::far));
+		CPPUNIT_ASSERT(!liveness.includes_neighbours());
 	}
 
 	void divisor_in_a_large_fleet_bounds_the_datagrams_per_second()
@@ -220,35 +220,35 @@
 			const node_liveness liveness(in_domain, nodes);
 			const double per_s = 1000.0 / static_cast<double>(liveness.interval().count());
 			const auto beyond = static_cast<double>(nodes - in_domain);
-			CPPUNIT_ASSERT(liveness.tells_neighbours());
+			CPPUNIT_ASSERT(liveness.includes_neighbours());
 			CPPUNIT_ASSERT(per_s * static_cast<double>(in_domain) <= 84.0);
-			CPPUNIT_ASSERT(per_s * beyond / liveness.rounds(proximity::region) <= 84.0);
+			CPPUNIT_ASSERT(per_s * beyond / liveness.heartbeat_divisor(proximity::region) <= 84.0);
 		}
 	}
 
 	void timeout_small_fleet_is_900_ms_and_2_s_for_far_nodes()
 	{
 		const node_liveness liveness(2, 8);
-		CPPUNIT_ASSERT(ms(900) == liveness.longest_silence(proximity::domain, 2));
-		CPPUNIT_ASSERT(ms(900) == liveness.longest_silence(proximity::region, 2));
-		CPPUNIT_ASSERT(ms(2000) == liveness.longest_silence(proximity::far, 2));
+		CPPUNIT_ASSERT(ms(900) == liveness.liveness_timeout(proximity::domain, 2));
+		CPPUNIT_ASSERT(ms(900) == liveness.liveness_timeout(proximity::region, 2));
+		CPPUNIT_ASSERT(ms(2000) == liveness.liveness_timeout(proximity::far, 2));
 	}
 
 	void timeout_large_fleet_is_five_heartbeats_and_four_times_that_for_far_nodes()
 	{
 		const node_liveness liveness(60, 60);
-		CPPUNIT_ASSERT(ms(3600) == liveness.longest_own_silence(proximity::region));
-		CPPUNIT_ASSERT(ms(14400) == liveness.longest_own_silence(proximity::far));
+		CPPUNIT_ASSERT(ms(3600) == liveness.direct_liveness_timeout(proximity::region));
+		CPPUNIT_ASSERT(ms(14400) == liveness.direct_liveness_timeout(proximity::far));
 	}
 
 	/// Lookups may list a dead node of the region for at most 8 s.
 	void timeout_with_digests_is_two_and_a_half_heartbeats_and_three_digests()
 	{
 		const node_liveness liveness(109, 985);
-		CPPUNIT_ASSERT(liveness.tells_by_digests() && !node_liveness(32, 294).tells_by_digests());
-		CPPUNIT_ASSERT(ms(3270) == liveness.longest_silence(proximity::domain, 109));
-		CPPUNIT_ASSERT(ms(3270 + 3000) == liveness.longest_silence(proximity::region, 109));
-		CPPUNIT_ASSERT(ms(3270 + 12000) == liveness.longest_silence(proximity::far, 109));
+		CPPUNIT_ASSERT(liveness.sends_digests() && !node_liveness(32, 294).sends_digests());
+		CPPUNIT_ASSERT(ms(3270) == liveness.liveness_timeout(proximity::domain, 109));
+		CPPUNIT_ASSERT(ms(3270 + 3000) == liveness.liveness_timeout(proximity::region, 109));
+		CPPUNIT_ASSERT(ms(3270 + 12000) == liveness.liveness_timeout(proximity::far, 109));
 	}
 
 	static std::vector<node_name> names_of(std::size_t _nodes)
@@ -322,16 +322,16 @@
 	void timeout_of_nodes_that_neighbours_report_is_short()
 	{
 		const node_liveness liveness(32, 294);
-		CPPUNIT_ASSERT(ms(1920) == liveness.longest_silence(proximity::domain, 32));
-		CPPUNIT_ASSERT(ms(1920 + 10 * 108) == liveness.longest_silence(proximity::region, 32));
-		CPPUNIT_ASSERT(ms(1920 + 10 * 432) == liveness.longest_silence(proximity::far, 32));
+		CPPUNIT_ASSERT(ms(1920) == liveness.liveness_timeout(proximity::domain, 32));
+		CPPUNIT_ASSERT(ms(1920 + 10 * 108) == liveness.liveness_timeout(proximity::region, 32));
+		CPPUNIT_ASSERT(ms(1920 + 10 * 432) == liveness.liveness_timeout(proximity::far, 32));
 	}
 
 	void timeout_of_a_node_alone_in_its_failure_domain_depends_on_its_heartbeats()
 	{
 		const node_liveness liveness(32, 294);
-		CPPUNIT_ASSERT(ms(5 * 9 * 384) == liveness.longest_silence(proximity::region, 0));
-		CPPUNIT_ASSERT(liveness.longest_silence(proximity::region, 1) <= ms(5 * 9 * 384));
+		CPPUNIT_ASSERT(ms(5 * 9 * 384) == liveness.liveness_timeout(proximity::region, 0));
+		CPPUNIT_ASSERT(liveness.liveness_timeout(proximity::region, 1) <= ms(5 * 9 * 384));
 	}
 
 	void proximity_depends_on_region_and_failure_domain()
@@ -350,11 +350,11 @@
 	{
 		for (const node_liveness liveness : {node_liveness(2, 8), node_liveness(32, 294)})
 		{
-			const int rounds = liveness.rounds(proximity::far);
+			const int heartbeat_divisor = liveness.heartbeat_divisor(proximity::far);
 			for (int node = 0; node < 20; ++node)
 			{
 				int turns = 0;
-				for (int sequence = 1; sequence <= 2 * rounds; ++sequence)
+				for (int sequence = 1; sequence <= 2 * heartbeat_divisor; ++sequence)
 				{
 					const node_name name("n" + std::to_string(node));
 					turns += liveness.is_turn(node_name("self"), name, static_cast<std::uint64_t>(sequence),
@@ -371,16 +371,18 @@
 	{
 		for (const node_liveness liveness : {node_liveness(2, 8), node_liveness(32, 294)})
 		{
-			CPPUNIT_ASSERT(liveness.tells_addresses(1) && liveness.tells_addresses(2));
-			const auto rounds = static_cast<std::uint64_t>(liveness.rounds(proximity::far));
+			CPPUNIT_ASSERT(liveness.includes_addresses(1) && liveness.includes_addresses(2));
+			const auto heartbeat_divisor =
+			    static_cast<std::uint64_t>(liveness.heartbeat_divisor(proximity::far));
 			for (int node = 0; node < 20; ++node)
 			{
 				int heard = 0;
-				for (std::uint64_t sequence = 4 * rounds; sequence < 8 * rounds; ++sequence)
+				for (std::uint64_t sequence = 4 * heartbeat_divisor; sequence < 8 * heartbeat_divisor;
+				     ++sequence)
 				{
 					const node_name name("n" + std::to_string(node));
 					const bool turn = liveness.is_turn(node_name("self"), name, sequence, proximity::far);
-					heard += turn && liveness.tells_addresses(sequence) ? 1 : 0;
+					heard += turn && liveness.includes_addresses(sequence) ? 1 : 0;
 				}
 				CPPUNIT_ASSERT_EQUAL(1, heard);
 			}
@@ -389,9 +391,9 @@
 
 	void address_without_a_reply_is_tried_each_heartbeat_only_at_first()
 	{
-		CPPUNIT_ASSERT(node_liveness::is_tried_often(0));
-		CPPUNIT_ASSERT(node_liveness::is_tried_often(7));
-		CPPUNIT_ASSERT(!node_liveness::is_tried_often(8));
+		CPPUNIT_ASSERT(node_liveness::is_tried_each_heartbeat(0));
+		CPPUNIT_ASSERT(node_liveness::is_tried_each_heartbeat(7));
+		CPPUNIT_ASSERT(!node_liveness::is_tried_each_heartbeat(8));
 	}
 
 	void forgotten_after_a_minute()
@@ -646,11 +648,11 @@
 		CPPUNIT_ASSERT_DOUBLES_EQUAL(5.0, rates.demand_of(shop).at(region_name("west")), 1e-9);
 		CPPUNIT_ASSERT_DOUBLES_EQUAL(25.0, rates.sent_of(shop, east).all_per_s, 1e-9);
 		CPPUNIT_ASSERT_DOUBLES_EQUAL(10.0, rates.sent_of(shop, east).before_per_s, 1e-9); // n1 only.
-		CPPUNIT_ASSERT_DOUBLES_EQUAL(2.5, rates.bound_of(shop).at(east), 1e-9);
+		CPPUNIT_ASSERT_DOUBLES_EQUAL(2.5, rates.single_region_demand_of(shop).at(east), 1e-9);
 		CPPUNIT_ASSERT(rates.demand_of(service_name("other")).empty());
 		CPPUNIT_ASSERT_DOUBLES_EQUAL(0.0, rates.sent_of(shop, region_name("north")).all_per_s, 1e-9);
 		rates.clear();
-		CPPUNIT_ASSERT(rates.demand_of(shop).empty() && rates.bound_of(shop).empty());
+		CPPUNIT_ASSERT(rates.demand_of(shop).empty() && rates.single_region_demand_of(shop).empty());
 	}
 
 	/// A node that receives requests for the service "shop" and sends all of them to the region "east"; a
--- a/tests/steering_quota_test.cpp
+++ b/tests/steering_quota_test.cpp
@@ -99,9 +99,9 @@
 	void lender_as_backup_starts_with_an_empty_bucket()
 	{
 		m_now += std::chrono::minutes(1);
-		CPPUNIT_ASSERT_EQUAL(0, lend(m_shop, 10, lender_rank::stand_in));
+		CPPUNIT_ASSERT_EQUAL(0, lend(m_shop, 10, lender_rank::backup));
 		m_now += ms(100);
-		CPPUNIT_ASSERT_EQUAL(2, lend(m_shop, 1000, lender_rank::stand_in)); // A quarter of the rate.
+		CPPUNIT_ASSERT_EQUAL(2, lend(m_shop, 1000, lender_rank::backup)); // A quarter of the rate.
 		CPPUNIT_ASSERT_EQUAL(0, lend(m_shop, 1000)); // Now the first lender: the bucket is the same.
 	}
 
@@ -288,7 +288,7 @@
 		mill.id = 7;
 		m_borrower.take(mill, k_nodes, m_now);
 		const auto request = m_borrower.due(mill, k_shop_lenders, 1, m_now);
-		CPPUNIT_ASSERT(request && lender_rank::stand_in == request->rank);
+		CPPUNIT_ASSERT(request && lender_rank::backup == request->rank);
 		m_now += k_passed_over;
 		CPPUNIT_ASSERT(!m_borrower.is_silent(1, m_now));
 	}
@@ -411,7 +411,7 @@
 		for (int i = 0; i < k_customers; ++i)
 		{
 			const ring_owners old = before.owners_of(customer_of(i));
-			const std::size_t expected = 5 == old.first ? old.stand_in : old.first;
+			const std::size_t expected = 5 == old.first ? old.backup : old.first;
 			CPPUNIT_ASSERT(all[expected] == remaining[after.owners_of(customer_of(i)).first]);
 		}
 	}
@@ -422,7 +422,7 @@
 		CPPUNIT_ASSERT(ring.empty());
 		ring.build({node_name("n1")});
 		CPPUNIT_ASSERT_EQUAL(std::size_t{0}, ring.owners_of(1).first);
-		CPPUNIT_ASSERT_EQUAL(std::size_t{0}, ring.owners_of(1).stand_in);
+		CPPUNIT_ASSERT_EQUAL(std::size_t{0}, ring.owners_of(1).backup);
 	}
 };
 
--- a/tests/steering_region_choice_test.cpp
+++ b/tests/steering_region_choice_test.cpp
@@ -62,10 +62,10 @@
 	void position_with_key_is_stable_and_without_key_random()
 	{
 		const affinity_key key = make_affinity_key("k1", "/a/");
-		const double position = position_of(key, m_random);
+		const double position = affinity_position(key, m_random);
 		CPPUNIT_ASSERT(position >= 0.0 && position < 1.0);
-		CPPUNIT_ASSERT_EQUAL(position, position_of(key, m_random));
-		CPPUNIT_ASSERT(position_of({}, m_random) != position_of({}, m_random));
+		CPPUNIT_ASSERT_EQUAL(position, affinity_position(key, m_random));
+		CPPUNIT_ASSERT(affinity_position({}, m_random) != affinity_position({}, m_random));
 	}
 
 	void choice_with_key_follows_the_shares_of_keys()
--- a/tests/steering_rollout_test.cpp
+++ b/tests/steering_rollout_test.cpp
@@ -313,8 +313,8 @@
 	void order_is_written_as_running_at_once()
 	{
 		expect_step(view_at(ms(0)), rollout_state::running);
-		expect_none(view_at(ms(0), decider_rank::stand_in));
-		expect_step(view_at(ms(1000), decider_rank::stand_in), rollout_state::running);
+		expect_none(view_at(ms(0), decider_rank::backup));
+		expect_step(view_at(ms(1000), decider_rank::backup), rollout_state::running);
 		expect_none(view_at(ms(5000), decider_rank::none));
 		rollout_view written_view = view_at(ms(5000));
 		written_view.written = rollout_state::running;
@@ -323,12 +323,12 @@
 
 	void bad_version_is_rolled_back_at_once_and_by_the_backup_a_second_later()
 	{
-		for (const decider_rank rank : {decider_rank::first, decider_rank::stand_in})
+		for (const decider_rank rank : {decider_rank::first, decider_rank::backup})
 		{
 			rollout_view view = view_at(ms(2000), rank);
 			view.written = rollout_state::running;
 			view.verdict = {verdict_reason::failures, "r1"};
-			if (decider_rank::stand_in == rank)
+			if (decider_rank::backup == rank)
 			{
 				expect_none(view);
 				view.found_bad = ms(1000);
@@ -341,7 +341,7 @@
 	{
 		expect_step(view_at(ms(7900)), rollout_state::running);
 		expect_step(view_at(ms(8000)), rollout_state::complete);
-		expect_step(view_at(ms(9000), decider_rank::stand_in), rollout_state::complete);
+		expect_step(view_at(ms(9000), decider_rank::backup), rollout_state::complete);
 	}
 
 	void version_without_requests_is_rolled_back()
--- a/tests/steering_service_test.cpp
+++ b/tests/steering_service_test.cpp
@@ -162,13 +162,13 @@
 	void frequency_with_too_few_requests_is_zero()
 	{
 		key_frequency keys;
-		for (std::uint32_t i = 0; i + 1 < k_enough_requests; ++i)
+		for (std::uint32_t i = 0; i + 1 < k_min_counted_requests; ++i)
 		{
 			keys.count({7});
 		}
-		CPPUNIT_ASSERT_EQUAL(0.0, keys.part_of({7}));
+		CPPUNIT_ASSERT_EQUAL(0.0, keys.frequency_of({7}));
 		keys.count({8});
-		CPPUNIT_ASSERT_DOUBLES_EQUAL(0.99, keys.part_of({7}), 1e-9);
+		CPPUNIT_ASSERT_DOUBLES_EQUAL(0.99, keys.frequency_of({7}), 1e-9);
 	}
 
 	void frequency_of_old_counts_decays()
@@ -182,8 +182,8 @@
 		{
 			keys.count({8});
 		}
-		CPPUNIT_ASSERT(keys.part_of({8}) > 0.6);
-		CPPUNIT_ASSERT(keys.part_of({7}) < 0.4);
+		CPPUNIT_ASSERT(keys.frequency_of({8}) > 0.6);
+		CPPUNIT_ASSERT(keys.frequency_of({7}) < 0.4);
 	}
 
 	void capacity_excludes_cold_or_unusable_backend_servers()
@@ -341,7 +341,7 @@
 
 	void first_rates_cover_more_demand_as_time_passes()
 	{
-		first_rates first;
+		rate_convergence first;
 		CPPUNIT_ASSERT_EQUAL(1.0, first.unmeasured({{m_east, 0.4}}, m_now));
 		CPPUNIT_ASSERT_EQUAL(1.0, first.unmeasured({{m_east, 3.0}, {m_west, 3.0}}, m_now));
 		m_now += std::chrono::seconds(2);
