--- a/src/entry_node/backend_limits.cpp
+++ b/src/entry_node/backend_limits.cpp
@@ -153,7 +153,7 @@
 	log_change(_backend, before);
 	if (before.per_s && _limit.per_s && *_limit.per_s < *before.per_s)
 	{
-		m_tokens.on_limit_fell(_backend.id_hash, *_limit.per_s / *before.per_s);
+		m_tokens.on_limit_lowered(_backend.id_hash, *_limit.per_s / *before.per_s);
 	}
 	return true;
 }
--- a/src/entry_node/crash_guard_p.h
+++ b/src/entry_node/crash_guard_p.h
@@ -210,7 +210,7 @@
 	crash_evidence m_observed;                                    ///< Crashes that this node observed.
 	crash_evidence m_counted; ///< Crashes that any node observed, for requests that this node counts.
 	blocked_requests m_blocked;
-	served_lately m_served;
+	recently_served m_served;
 	std::list<pending_repeat> m_repeats;
 	std::map<request_fingerprint, pending_trial> m_pending_trials;
 	asio::steady_timer m_trial_timer;
--- a/src/entry_node/customer_quotas_p.h
+++ b/src/entry_node/customer_quotas_p.h
@@ -28,7 +28,7 @@
 	/// Returns the token of a request that reached no backend server.
 	virtual void give_back(const customer& _customer) = 0;
 	/// @returns Seconds after which a refused caller of the customer may retry.
-	virtual double seconds_to_come_back(const customer& _customer) const = 0;
+	virtual double quota_retry_delay_s(const customer& _customer) const = 0;
 };
 
 /// Quotas of customers, shared by all nodes.
@@ -45,9 +45,9 @@
 	{
 		m_tokens.give_back(_customer);
 	}
-	double seconds_to_come_back(const customer& _customer) const override
+	double quota_retry_delay_s(const customer& _customer) const override
 	{
-		return m_tokens.seconds_to_come_back(_customer);
+		return m_tokens.quota_retry_delay_s(_customer);
 	}
 	/// Sets the configuration that holds the customers and their limits.
 	void set_routes(std::shared_ptr<const routing_table> _routes)
--- a/src/entry_node/entry_node.cpp
+++ b/src/entry_node/entry_node.cpp
@@ -319,7 +319,7 @@
 		m_context.stop();
 		return;
 	}
-	m_stop_timer.expires_after(k_stop_step);
+	m_stop_timer.expires_after(k_stop_check_interval);
 	m_stop_timer.async_wait(
 	    [this](beast::error_code _error)
 	    {
--- a/src/entry_node/entry_node_answers.cpp
+++ b/src/entry_node/entry_node_answers.cpp
@@ -64,13 +64,13 @@
 		_session->respond(caller_response(http::status::not_found, 11));
 		return;
 	}
-	if (!m_page_limit.may_give(now))
+	if (!m_page_limit.may_send_page(now))
 	{
 		_session->respond(caller_response(http::status::service_unavailable, 11));
 		return;
 	}
 	const std::string& packed = m_packed_pages.get(*after, m_replica, now);
-	m_page_limit.on_given(packed.size(), now);
+	m_page_limit.on_page_sent(packed.size(), now);
 	caller_response response(http::status::ok, 11);
 	response.set(http::field::content_type, "application/cbor");
 	response.set(http::field::content_encoding, "deflate");
@@ -119,7 +119,7 @@
     const store_changes& _changes, caller_response&& _response)
 {
 	const steady_time now = m_clock.steady();
-	if (_changes.whole && !m_page_limit.may_give(now))
+	if (_changes.whole && !m_page_limit.may_send_page(now))
 	{
 		_session->respond(caller_response(http::status::service_unavailable, 11));
 		return;
@@ -127,7 +127,7 @@
 	const std::vector<std::uint8_t> bytes = encode(_changes);
 	if (_changes.whole)
 	{
-		m_page_limit.on_given(bytes.size(), now);
+		m_page_limit.on_page_sent(bytes.size(), now);
 	}
 	_response.body().assign(bytes.begin(), bytes.end());
 	_session->respond(std::move(_response));
--- a/src/entry_node/entry_node_copies.cpp
+++ b/src/entry_node/entry_node_copies.cpp
@@ -20,7 +20,7 @@
 	const steady_time now = m_clock.steady();
 	copy_view view;
 	m_fleet.fill_copy_view(view);
-	m_last_page_at = view.anyone_knows ? m_last_page_at : now;
+	m_last_page_at = view.anyone_has_keys ? m_last_page_at : now;
 	view.passed = now - m_copy_started_at;
 	view.since_page = now - std::max(m_copy_started_at, m_last_page_at);
 	return plan_copy(view);
@@ -59,7 +59,7 @@
 			m_last_page_at = m_clock.steady();
 			continue;
 		}
-		sleep_for(m_context.get_executor(), k_copy_pause, _yield);
+		sleep_for(m_context.get_executor(), k_copy_retry_pause, _yield);
 	}
 	m_forwarder.pump();
 	send_heartbeat_to(m_fleet.domain_addresses()); // They may fetch pages from this node now.
--- a/src/entry_node/entry_node_p.h
+++ b/src/entry_node/entry_node_p.h
@@ -71,7 +71,8 @@
 	void watch_signals();
 	void reload_settings();
 	void begin_stop();
-	/// Takes the actions of plan_stop() that are due, and repeats at each k_stop_step until the process ends.
+	/// Takes the actions of plan_stop() that are due, and repeats at each k_stop_check_interval until the
+	/// process ends.
 	void stop_step();
 	/// Runs periodic work: ticks of the components, heartbeats, digests, fetches from other nodes, log
 	/// output.
@@ -170,7 +171,7 @@
 	asio::steady_timer m_fetch_timer;
 	asio::steady_timer m_fetch_routes_timer;
 	http_caller m_peer_caller;
-	page_limit m_page_limit;
+	page_rate_limit m_page_limit;
 	packed_page_cache m_packed_pages;
 	packed_change_cache m_packed_changes;
 	steady_time m_copy_started_at{}; ///< Start of the search for a full copy of the keys.
--- a/src/entry_node/entry_node_peers.cpp
+++ b/src/entry_node/entry_node_peers.cpp
@@ -183,7 +183,7 @@
 void entry_node::on_store_changes(const store_changes& _changes)
 {
 	const std::vector<std::string> others = m_fleet.region_addresses();
-	if (all_read(others.size()))
+	if (all_nodes_read(others.size()))
 	{
 		return;
 	}
@@ -289,7 +289,7 @@
 		return;
 	}
 	m_fetching_changes = true;
-	m_fetch_timer.expires_after(wait_before_asking(is_reader()));
+	m_fetch_timer.expires_after(catch_up_delay(is_reader()));
 	m_fetch_timer.async_wait(
 	    [this](beast::error_code)
 	    {
@@ -318,7 +318,7 @@
 	const bool is_first_fetch = 0 == routes_version() && 0 == m_routes_failures;
 	m_fetch_routes_timer.expires_after(is_first_fetch
 	                                       ? std::chrono::milliseconds(0)
-	                                       : wait_before_asking_routes(is_reader(), m_routes_failures));
+	                                       : config_catch_up_delay(is_reader(), m_routes_failures));
 	m_fetch_routes_timer.async_wait(
 	    [this](beast::error_code)
 	    {
--- a/src/entry_node/fleet.cpp
+++ b/src/entry_node/fleet.cpp
@@ -71,7 +71,7 @@
 		in_region += proximity::far == domain.where ? 0 : domain.nodes;
 		domain.liveness_timeout = pace.liveness_timeout(domain.where, domain.nodes - 1);
 	}
-	m_census.on_seen(m_members.size() + 1, in_region);
+	m_census.on_nodes_counted(m_members.size() + 1, in_region);
 	m_live.outdated = true;
 }
 
--- a/src/entry_node/fleet_answers.cpp
+++ b/src/entry_node/fleet_answers.cpp
@@ -129,7 +129,7 @@
 	{
 		return _node.config_version > _config_version;
 	};
-	const node_heartbeat* peer = choose_peer_for_routes(m_self, _config_version, live_with(is_newer));
+	const node_heartbeat* peer = choose_config_peer(m_self, _config_version, live_with(is_newer));
 	if (nullptr == peer)
 	{
 		m_highest_config = _config_version;
@@ -153,9 +153,9 @@
 			_view.rank += near && rendezvous_weight(name.text, 0) > own ? 1 : 0;
 			continue;
 		}
-		_view.anyone_knows = true;
-		_view.domain_knows = _view.domain_knows || near;
-		_view.region_knows = _view.region_knows || proximity::far != member.domain->where;
+		_view.anyone_has_keys = true;
+		_view.domain_has_keys = _view.domain_has_keys || near;
+		_view.region_has_keys = _view.region_has_keys || proximity::far != member.domain->where;
 	}
 }
 
@@ -358,7 +358,7 @@
 {
 	const warmup_table& table = warmup_nodes();
 	const bool chosen = k_own_index == table.ring.owners_of(ring_position(_backend.id_hash)).first;
-	return plan_warmup(table.nodes, m_census.most_in_region(), chosen).part;
+	return plan_warmup(table.nodes, m_census.max_in_region(), chosen).part;
 }
 
 slot_portion fleet::portion(const service_name& _service, const region_name& _region) const
@@ -402,7 +402,7 @@
 		    node_state::ready == member.last.state && is_live_in_region(member, summary.at) ? 1 : 0;
 	}
 	return {
-	    budget_sharers(ready_nodes), static_cast<double>(m_census.most_in_region()), summary.ready_version};
+	    budget_sharers(ready_nodes), static_cast<double>(m_census.max_in_region()), summary.ready_version};
 }
 
 rate_by_region fleet::demand_of_others(const service_name& _service) const
--- a/src/entry_node/fleet_p.h
+++ b/src/entry_node/fleet_p.h
@@ -235,7 +235,7 @@
 	std::unordered_map<std::string, int> m_member_ips;
 	/// Candidate addresses at which no node was heard, with the number of heartbeats sent there.
 	std::map<std::string, int> m_addresses;
-	node_census m_census;
+	node_count_maximum m_census;
 	mutable live_summary m_live;
 	mutable std::map<region_name, lender_table> m_lenders; ///< By region; all regions under the empty name.
 	mutable warmup_table m_warmup_nodes;
--- a/src/entry_node/forwarded_request.cpp
+++ b/src/entry_node/forwarded_request.cpp
@@ -97,7 +97,7 @@
 	service_steering& steering = m_owner.service_entry(m_service).steering;
 	if (1 == m_home_regions.regions.size())
 	{
-		steering.count_bound(region_name(m_home_regions.regions.front()));
+		steering.count_pinned(region_name(m_home_regions.regions.front()));
 	}
 	else
 	{
@@ -153,7 +153,7 @@
 	m_state = state::queued;
 	++m_context.counters.queued;
 	m_owner.service_entry(m_service).waiting.add(m_route->priority, shared_from_this());
-	m_wait_timer.expires_after(longest_wait(m_route->objective));
+	m_wait_timer.expires_after(max_slot_wait(m_route->objective));
 	m_wait_timer.async_wait(
 	    [self = shared_from_this()](beast::error_code _error)
 	    {
@@ -294,7 +294,7 @@
 	if (m_exchange)
 	{
 		const steady_time now = m_context.clock.steady();
-		m_exchange->cancel(time_for_last_words(to_ms(now - m_sent_at), now >= m_deadline));
+		m_exchange->cancel(response_drain_time(to_ms(now - m_sent_at), now >= m_deadline));
 		m_exchange.reset();
 	}
 	m_session->set_disconnect_handler(nullptr);
--- a/src/entry_node/forwarded_request_attempts.cpp
+++ b/src/entry_node/forwarded_request_attempts.cpp
@@ -49,7 +49,7 @@
 	query.tokens = &m_context.limits;
 	// A retry does not wait for a token: it goes to a backend server that can take it at once.
 	const bool in_time = steady_time{} == m_token_wait_since ||
-	                     m_context.clock.steady() - m_token_wait_since < longest_wait(m_route->objective);
+	                     m_context.clock.steady() - m_token_wait_since < max_slot_wait(m_route->objective);
 	query.may_wait_for_token = m_tried.empty() && in_time;
 	query.without_token = &m_without_token;
 	if (m_route->large_answers)
@@ -86,9 +86,9 @@
 		}
 		if (region != m_region_choice.region)
 		{
-			if (!leaves_freely(m_region_choice.region, homes) &&
-			    departure::denied == steering.overflow.may_leave(m_region_choice.region, homes,
-			                             steering.demand.requests_per_s(), m_context.clock.steady()))
+			if (!must_leave(m_region_choice.region, homes) &&
+			    overflow_decision::denied == steering.overflow.may_leave(m_region_choice.region, homes,
+			                                     steering.demand.requests_per_s(), m_context.clock.steady()))
 			{
 				if (backend_choice_reason::awaits_token != choice.why)
 				{
@@ -137,7 +137,7 @@
 
 bool forwarded_request::pause_exceeds_wait() const
 {
-	return m_only_resting && m_first_return_at > m_context.clock.steady() + longest_wait(m_route->objective);
+	return m_only_resting && m_first_return_at > m_context.clock.steady() + max_slot_wait(m_route->objective);
 }
 
 void forwarded_request::ask_for_token(const backend_ptr& _backend)
--- a/src/entry_node/forwarded_request_customer.cpp
+++ b/src/entry_node/forwarded_request_customer.cpp
@@ -98,7 +98,7 @@
 {
 	// A random part of the time, so that the callers of one customer do not all retry at once.
 	const double part = std::uniform_real_distribution<double>(k_min_retry_spread, 1.0)(m_context.random);
-	const double pause_s = part * m_context.quotas.seconds_to_come_back(*m_customer);
+	const double pause_s = part * m_context.quotas.quota_retry_delay_s(*m_customer);
 	respond(make_refusal(k_status_over_quota, pause_s), outcome::not_run, reason::over_quota);
 }
 } // namespace larkrack
--- a/src/entry_node/forwarder.cpp
+++ b/src/entry_node/forwarder.cpp
@@ -112,7 +112,7 @@
 	                             : std::chrono::duration<double>(now - m_last_tick).count();
 	m_last_tick = now;
 	const double nodes = m_context.fleet.sharers().nodes;
-	const bool plan_due = now - m_last_plan >= plan_pause(m_context.backends.size());
+	const bool plan_due = now - m_last_plan >= min_plan_interval(m_context.backends.size());
 	m_last_plan = plan_due ? now : m_last_plan;
 	for (auto& [name, service] : m_services)
 	{
@@ -147,7 +147,7 @@
 	rate_by_service_and_region sent;
 	for (const auto& [name, service] : m_services)
 	{
-		const rate_by_region bound = service.steering.bound_per_s();
+		const rate_by_region bound = service.steering.pinned_per_s();
 		for (const auto& [region, share] : service.steering.shares.of_keys.shares())
 		{
 			const double per_s = share * service.steering.demand.requests_per_s();
@@ -159,7 +159,7 @@
 		for (const auto& [region, per_s] : bound)
 		{
 			sent[name][region] += per_s;
-			sent[bound_part_of(name)][region] = per_s;
+			sent[pinned_requests_of(name)][region] = per_s;
 		}
 	}
 	return sent;
--- a/src/entry_node/forwarder_p.h
+++ b/src/entry_node/forwarder_p.h
@@ -123,7 +123,7 @@
 	/// @returns Arriving requests of callers at this node, without retries.
 	rate_by_service requests_per_s() const;
 	/// @returns Requests per second with an affinity key that this node sends to each region. Requests that
-	/// may run in one region only are included, and also listed apart under the name of bound_part_of().
+	/// may run in one region only are included, and also listed apart under the name of pinned_requests_of().
 	rate_by_service_and_region sent_per_s() const;
 	/// @returns Reports of backend servers about themselves.
 	const backend_words& words() const
--- a/src/entry_node/rollout_messages.cpp
+++ b/src/entry_node/rollout_messages.cpp
@@ -68,7 +68,7 @@
 bool read_route(const nlohmann::json& _field, rollout_evidence& _evidence)
 {
 	const bool valid = _field.is_array() && k_route_fields == _field.size() && _field[0].is_string();
-	if (!valid || _evidence.size() > k_told_routes)
+	if (!valid || _evidence.size() > k_max_separate_routes)
 	{
 		return false;
 	}
--- a/src/entry_node/rollouts.cpp
+++ b/src/entry_node/rollouts.cpp
@@ -40,7 +40,7 @@
 	{
 	case rollout_reason::ordered:
 		return "ordered";
-	case rollout_reason::not_seen:
+	case rollout_reason::no_requests:
 		return "no_request_ended_there";
 	case rollout_reason::judged:
 		return "nothing_found";
@@ -281,7 +281,7 @@
 	{
 		_rollout.bad_since = now; // From now on this node sends the target no requests, written or not.
 	}
-	view.found_bad = _rollout.bad_since ? now - *_rollout.bad_since : steady_time::duration{};
+	view.bad_for = _rollout.bad_since ? now - *_rollout.bad_since : steady_time::duration{};
 	for (const auto& [route, counts] : evidence)
 	{
 		view.ended_at_target += counts.target.ended;
--- a/src/entry_node/store_sync.cpp
+++ b/src/entry_node/store_sync.cpp
@@ -84,7 +84,7 @@
 	{
 		if (copy_step::from_store != m_coordination.next_copy_step())
 		{
-			pause(k_copy_step, _yield);
+			pause(k_copy_check_interval, _yield);
 			continue;
 		}
 		if (!read_all(true, _yield))
@@ -161,7 +161,7 @@
 		    if (!_batch.puts.empty() || !_batch.deletes.empty())
 		    {
 			    m_coordination.on_store_changes(changes);
-			    pause(k_batch_pause, _yield);
+			    pause(k_batch_delay, _yield);
 		    }
 		    return !m_stopping && m_coordination.is_reader();
 	    },
@@ -171,9 +171,9 @@
 void store_sync::sync_keys(const yield_context& _yield)
 {
 	wait_for_keys(_yield);
-	// Rounded up, so that k_rank_wait has passed when the pause ends.
-	pause(
-	    std::chrono::ceil<std::chrono::milliseconds>(m_started_at + k_rank_wait - m_clock.steady()), _yield);
+	// Rounded up, so that k_reader_rank_delay has passed when the pause ends.
+	pause(std::chrono::ceil<std::chrono::milliseconds>(m_started_at + k_reader_rank_delay - m_clock.steady()),
+	    _yield);
 	bool synced = true;
 	int tries = 0;
 	while (!m_stopping)
@@ -182,7 +182,7 @@
 		{
 			synced = true;
 			adopt_peers_health();
-			pause(k_reader_check, _yield);
+			pause(k_reader_check_interval, _yield);
 			continue;
 		}
 		if (!synced)
@@ -229,13 +229,13 @@
 {
 	std::int64_t lease = 0;
 	int tries = 0;
-	pause(k_register_wait, _yield);
+	pause(k_registration_delay, _yield);
 	while (!m_stopping)
 	{
 		if (!m_coordination.should_register())
 		{
 			lease = 0; // Left to expire.
-			pause(k_register_check, _yield);
+			pause(k_registration_check_interval, _yield);
 			continue;
 		}
 		if (0 == lease)
@@ -243,7 +243,7 @@
 			lease = register_node(_yield);
 			if (0 == lease)
 			{
-				back_off(k_registration_tries + tries++, _yield);
+				back_off(k_registration_initial_failures + tries++, _yield);
 				continue;
 			}
 			tries = 0;
@@ -254,7 +254,7 @@
 		{
 			record_result(true);
 		}
-		if (registration_lapsed(call_status::done == kept.status, kept.ttl))
+		if (registration_expired(call_status::done == kept.status, kept.ttl))
 		{
 			lease = 0;
 		}
--- a/src/entry_node/token_exchange.cpp
+++ b/src/entry_node/token_exchange.cpp
@@ -89,10 +89,11 @@
 	waiting_list& waiting = it->second;
 	for (auto request = waiting.begin(); request != waiting.end();)
 	{
-		quota_answer answer = m_borrower.take_again(_subject, lenders, now);
+		quota_answer answer = m_borrower.retry_take(_subject, lenders, now);
 		if (quota_answer::waits == answer && now >= request->until)
 		{
-			answer = m_borrower.is_silent(lenders.first, now) ? quota_answer::unknown : quota_answer::over;
+			answer =
+			    m_borrower.is_unresponsive(lenders.first, now) ? quota_answer::unknown : quota_answer::over;
 		}
 		if (quota_answer::waits == answer)
 		{
@@ -186,9 +187,9 @@
 	const responsible_nodes holders = m_owner.responsible_for(subject->id);
 	const bool from_first = _sender_ip == holders.first.ip;
 	const bool from_stand_in = !from_first && _sender_ip == holders.backup.ip;
-	if (from_stand_in && sends_back(_grant))
+	if (from_stand_in && is_redirect(_grant))
 	{
-		m_borrower.on_sent_back(_grant, holders.first.name_hash);
+		m_borrower.on_redirect(_grant, holders.first.name_hash);
 	}
 	else
 	{
@@ -216,10 +217,10 @@
 	{
 		request.rank = lender_rank::backup;
 	}
-	if (stands_in && !m_borrower.is_silent(holders.first.name_hash, m_clock.steady()))
+	if (stands_in && !m_borrower.is_unresponsive(holders.first.name_hash, m_clock.steady()))
 	{
 		probe(*subject);
-		m_owner.send(quota_grant{_request.customer, 0, k_sent_back}, _sender_ip);
+		m_owner.send(quota_grant{_request.customer, 0, k_redirect_wait}, _sender_ip);
 		return;
 	}
 	m_owner.send(m_lender.lend(*subject, request, m_clock.steady()), _sender_ip);
@@ -258,7 +259,7 @@
 		return;
 	}
 	m_last_cleanup = now;
-	m_borrower.forget_idle(now);
-	m_lender.forget_idle(now);
+	m_borrower.evict_idle(now);
+	m_lender.evict_idle(now);
 }
 } // namespace larkrack
--- a/src/entry_node/token_exchange_p.h
+++ b/src/entry_node/token_exchange_p.h
@@ -58,14 +58,14 @@
 	void give_back(const quota_subject& _subject);
 	/// Adjusts the borrowed tokens to a limit that was lowered.
 	/// @param[in] _part New limit divided by the old one.
-	void on_limit_fell(std::uint64_t _id, double _part)
+	void on_limit_lowered(std::uint64_t _id, double _part)
 	{
-		m_borrower.on_limit_fell(_id, _part);
+		m_borrower.on_limit_lowered(_id, _part);
 	}
 	/// @returns Retry-After for a request above the limit, seconds.
-	double seconds_to_come_back(const quota_subject& _subject) const
+	double quota_retry_delay_s(const quota_subject& _subject) const
 	{
-		return m_borrower.seconds_to_come_back(_subject);
+		return m_borrower.quota_retry_delay_s(_subject);
 	}
 	/// Handles a token request or a grant from another node.
 	void on_message(const quota_message& _message, const std::string& _sender_ip);
--- a/src/larkrackd/mix.cpp
+++ b/src/larkrackd/mix.cpp
@@ -15,7 +15,7 @@
 constexpr double k_nothing = 1e-12;
 /// Difference of two shares that is rounding only. It must exceed the error of a sum of shares (a sum of
 /// 1 - 1e-16 keeps a shift from its goal) and be far below one step.
-constexpr double k_rounding = 1e-9;
+constexpr double k_rounding_error = 1e-9;
 /// A limiter keeps no samples that are closer than this, and moves no more often. Shorter costs memory
 /// (window / gap samples), longer makes steps coarser. Not measured; equal to k_tick.
 constexpr std::chrono::milliseconds k_sample_gap{50};
@@ -130,7 +130,7 @@
 	return std::equal(_a.begin(), _a.end(), _b.begin(), _b.end(),
 	    [](double _x, double _y)
 	    {
-		    return std::abs(_x - _y) < k_rounding;
+		    return std::abs(_x - _y) < k_rounding_error;
 	    });
 }
 
--- a/src/larkrackd/platform_sync.cpp
+++ b/src/larkrackd/platform_sync.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 /// Pause of a node that need not read before it looks again whether it must. Not measured.
-constexpr std::chrono::milliseconds k_reader_check{200};
+constexpr std::chrono::milliseconds k_reader_check_interval{200};
 /// Pause between two looks at the list of VMs: how late a VM is known to be gone, against calls to the
 /// platform. Not measured.
 constexpr std::chrono::milliseconds k_vm_poll{1000};
@@ -91,7 +91,7 @@
 	{
 		if (!m_reader)
 		{
-			sleep_for(m_context.get_executor(), k_reader_check, _yield);
+			sleep_for(m_context.get_executor(), k_reader_check_interval, _yield);
 			continue;
 		}
 		std::int64_t store_revision = 0;
--- a/src/steering/demand_meter_p.h
+++ b/src/steering/demand_meter_p.h
@@ -45,12 +45,12 @@
 	{
 		if (!m_since)
 		{
-			double all_per_s = 0.0;
+			double total_per_s = 0.0;
 			for (const auto& [region, per_s] : _per_s)
 			{
-				all_per_s += per_s;
+				total_per_s += per_s;
 			}
-			if (all_per_s < k_min_demand_per_s)
+			if (total_per_s < k_min_demand_per_s)
 			{
 				return 1.0;
 			}
--- a/src/steering/fleet_rates.cpp
+++ b/src/steering/fleet_rates.cpp
@@ -14,12 +14,12 @@
 	const bool is_before = _node.node < _self;
 	for (const auto& [service, rates] : _node.sent_per_s)
 	{
-		std::map<region_name, rates_of_others>& sums = m_sent[service];
+		std::map<region_name, other_nodes_rates>& sums = m_sent[service];
 		for (const auto& [region, per_s] : rates)
 		{
-			rates_of_others& sum = sums[region];
-			sum.all_per_s += per_s;
-			sum.before_per_s += is_before ? per_s : 0.0;
+			other_nodes_rates& sum = sums[region];
+			sum.total_per_s += per_s;
+			sum.preceding_per_s += is_before ? per_s : 0.0;
 		}
 	}
 }
@@ -33,19 +33,19 @@
 rate_by_region fleet_rates::single_region_demand_of(const service_name& _service) const
 {
 	rate_by_region bound;
-	const auto it = m_sent.find(bound_part_of(_service));
+	const auto it = m_sent.find(pinned_requests_of(_service));
 	if (m_sent.end() == it)
 	{
 		return bound;
 	}
 	for (const auto& [region, sum] : it->second)
 	{
-		bound[region] = sum.all_per_s;
+		bound[region] = sum.total_per_s;
 	}
 	return bound;
 }
 
-rates_of_others fleet_rates::sent_of(const service_name& _service, const region_name& _region) const
+other_nodes_rates fleet_rates::sent_of(const service_name& _service, const region_name& _region) const
 {
 	const auto service = m_sent.find(_service);
 	if (m_sent.end() == service)
@@ -53,6 +53,6 @@
 		return {};
 	}
 	const auto region = service->second.find(_region);
-	return service->second.end() == region ? rates_of_others{} : region->second;
+	return service->second.end() == region ? other_nodes_rates{} : region->second;
 }
 } // namespace larkrack
--- a/src/steering/fleet_rates_p.h
+++ b/src/steering/fleet_rates_p.h
@@ -40,10 +40,10 @@
 	/// @returns Requests for a service that may run in only one region, by that region.
 	rate_by_region single_region_demand_of(const service_name& _service) const;
 	/// @returns Rates at which other nodes send to a region for a service.
-	rates_of_others sent_of(const service_name& _service, const region_name& _region) const;
+	other_nodes_rates sent_of(const service_name& _service, const region_name& _region) const;
 
 private:
 	std::map<service_name, rate_by_region> m_demand;
-	std::map<service_name, std::map<region_name, rates_of_others>> m_sent;
+	std::map<service_name, std::map<region_name, other_nodes_rates>> m_sent;
 };
 } // namespace larkrack
--- a/src/steering/peak_rates.cpp
+++ b/src/steering/peak_rates.cpp
@@ -12,7 +12,7 @@
 {
 	const double passed_s = std::chrono::duration<double>(_now - m_updated_at).count();
 	m_updated_at = _now;
-	const double decay = std::exp(-passed_s / k_peak_memory_s);
+	const double decay = std::exp(-passed_s / k_peak_time_constant_s);
 	for (auto& [region, peak] : m_peaks)
 	{
 		peak *= decay;
--- a/src/steering/peak_rates_p.h
+++ b/src/steering/peak_rates_p.h
@@ -22,7 +22,7 @@
 {
 /// Time constant of the decay, in seconds. Longer: keys are moved less often. Shorter: keys return to their
 /// home region sooner after a burst.
-constexpr double k_peak_memory_s = 30.0;
+constexpr double k_peak_time_constant_s = 30.0;
 
 /// Decaying maxima of the request rates of one service.
 class peak_rates
--- a/src/steering/planned_stop_p.h
+++ b/src/steering/planned_stop_p.h
@@ -8,18 +8,18 @@
 /// number of connections with an open request; time since the last request arrived (steady clock).
 ///
 /// Algorithm: the node state "stopping" at once makes the node not ready, removes it from lookup answers, and
-/// lets its answers close their connections. Idle connections are closed after k_stop_close_idle, when
-/// callers have looked up other nodes. From k_stop_refuse_part of the grace period on, new requests are
-/// refused as not run. The process exits when it has had no request for k_stop_quiet, but not before
-/// k_stop_earliest, and in any case k_stop_margin before the kill.
+/// lets its answers close their connections. Idle connections are closed after k_stop_close_idle_after, when
+/// callers have looked up other nodes. From k_stop_refuse_fraction of the grace period on, new requests are
+/// refused as not run. The process exits when it has had no request for k_stop_quiet_time, but not before
+/// k_stop_min_time, and in any case k_stop_margin before the kill.
 ///
 /// Alternatives:
 /// - accepting requests until half a second before the end: those requests were aborted, 20 lost on a day of
 ///   planned stops, one node after the other;
 /// - exiting at once: callers with an older lookup answer would find no node; not measured.
 ///
-/// Relies on the node to call plan_stop() at each k_stop_step, and on the platform to honour the grace
-/// period.
+/// Relies on the node to call plan_stop() at each k_stop_check_interval, and on the platform to honour the
+/// grace period.
 #pragma once
 
 #include "base/clock_p.h"
@@ -28,14 +28,14 @@
 {
 /// Interval at which the stop is checked, in milliseconds. Longer: the process exits later than it could. Not
 /// measured.
-constexpr std::chrono::milliseconds k_stop_step{100};
+constexpr std::chrono::milliseconds k_stop_check_interval{100};
 
 /// Why the process exits, or does not exit yet.
 enum class stop_reason
 {
-	serving,     ///< The process keeps running.
-	quiet,       ///< Exits: no requests are left.
-	grace_spent, ///< Exits: the kill is near.
+	serving,           ///< The process keeps running.
+	quiet,             ///< Exits: no requests are left.
+	grace_period_over, ///< Exits: the kill is near.
 };
 
 /// Steps to take now; a step that was taken earlier stays taken.
--- a/src/steering/quota_borrower.cpp
+++ b/src/steering/quota_borrower.cpp
@@ -16,21 +16,21 @@
 /// nodes hold and a backup lender that lends beside a slow lender. With half of the overage here and a backup
 /// lender that lent the whole rate, a customer that asked for ten times its limit was served 3% above the
 /// bounds in a window; with 0.4, random faults in a model took one customer 1% above.
-constexpr double k_doubt_of_overage = 0.2;
+constexpr double k_fallback_overage_fraction = 0.2;
 /// Fraction of the slack that the nodes share for requests without a token. The rest is bucket depth of one
 /// lender and of its successor: with 0.75, nodes that were cut off and crashed at random took a customer with
 /// a limit of a few requests 1 to 5% above the bounds.
-constexpr double k_doubt_of_slack = 0.3;
-/// Fraction of the tokens for k_horizon below which more tokens are borrowed. Higher: more messages. Lower:
-/// requests wait. Not measured.
-constexpr double k_borrow_below = 0.5;
+constexpr double k_fallback_slack_fraction = 0.3;
+/// Fraction of the tokens for k_borrow_horizon below which more tokens are borrowed. Higher: more messages.
+/// Lower: requests wait. Not measured.
+constexpr double k_borrow_threshold = 0.5;
 /// Maximum number of tokens in one borrow request; the field has 16 bits.
-constexpr double k_most_wanted = 10000.0;
+constexpr double k_max_wanted_tokens = 10000.0;
 /// Minimum retry time that a refused customer is given, in seconds.
 /// Shorter: most callers are refused again. Longer: callers of a customer whose surge has ended stay away.
 /// Not measured.
-constexpr double k_back_first_s = 0.5;
-constexpr double k_back_last_s = 4.0; ///< Maximum of that time.
+constexpr double k_quota_retry_after_min_s = 0.5;
+constexpr double k_quota_retry_after_max_s = 4.0; ///< Maximum of that time.
 
 double seconds(steady_time::duration _time)
 {
@@ -41,7 +41,7 @@
 quota_borrower::account& quota_borrower::decayed_account(std::uint64_t _subject, steady_time _now)
 {
 	account& entry = m_accounts[_subject];
-	const double memory_s = seconds(k_account_rate_memory);
+	const double memory_s = seconds(k_account_rate_time_constant);
 	const double decay = steady_time{} == entry.decayed_at
 	                         ? 0.0
 	                         : std::exp(-std::max(0.0, seconds(_now - entry.decayed_at)) / memory_s);
@@ -62,14 +62,14 @@
 		return false;
 	}
 	_account.tokens -= 1.0;
-	_account.granted_per_s += 1.0 / seconds(k_account_rate_memory);
+	_account.granted_per_s += 1.0 / seconds(k_account_rate_time_constant);
 	return true;
 }
 
 quota_answer quota_borrower::take(const quota_subject& _subject, double _nodes, steady_time _now)
 {
 	account& entry = decayed_account(_subject.id, _now);
-	entry.per_s += 1.0 / seconds(k_account_rate_memory);
+	entry.per_s += 1.0 / seconds(k_account_rate_time_constant);
 	if (spend(entry, _now))
 	{
 		return quota_answer::granted;
@@ -88,7 +88,7 @@
 	return _account.over_limit && (_now < _account.pause_until || steady_time{} != _account.asked_at);
 }
 
-quota_answer quota_borrower::take_again(
+quota_answer quota_borrower::retry_take(
     const quota_subject& _subject, const quota_lenders& _lenders, steady_time _now)
 {
 	account& entry = decayed_account(_subject.id, _now);
@@ -100,12 +100,12 @@
 	{
 		return quota_answer::over;
 	}
-	const bool none_responds =
-	    is_silent(_lenders.first, _now) && (0 == _lenders.backup || is_silent(_lenders.backup, _now));
+	const bool none_responds = is_unresponsive(_lenders.first, _now) &&
+	                           (0 == _lenders.backup || is_unresponsive(_lenders.backup, _now));
 	return none_responds ? quota_answer::unknown : quota_answer::waits;
 }
 
-bool quota_borrower::is_silent(std::uint32_t _lender, steady_time _now) const
+bool quota_borrower::is_unresponsive(std::uint32_t _lender, steady_time _now) const
 {
 	const auto it = m_lenders.find(_lender);
 	return m_lenders.end() != it && _now < it->second.skipped_until;
@@ -125,8 +125,8 @@
 		_account.fallback_used = 0;
 	}
 	const double in_window = _subject.limit.per_s * seconds(m_bounds.window) + _subject.limit.burst;
-	const double total =
-	    k_doubt_of_overage * m_bounds.overage * in_window + k_doubt_of_slack * m_bounds.slack;
+	const double total = k_fallback_overage_fraction * m_bounds.overage * in_window +
+	                     k_fallback_slack_fraction * m_bounds.slack;
 	const double own_share = total / std::max(1.0, _nodes);
 	const double rounding = unit_interval(_subject.id ^ m_node_hash);
 	if (_account.fallback_used + 1 > std::floor(own_share + rounding))
@@ -160,9 +160,9 @@
 {
 	_account.asked_at = steady_time{};
 	lender_health& lender = m_lenders[_account.asked_lender];
-	if (steady_time{} != lender.open_since && _now - lender.open_since >= k_lender_silent)
+	if (steady_time{} != lender.open_since && _now - lender.open_since >= k_lender_unresponsive_after)
 	{
-		lender.skipped_until = _now + k_passed_over;
+		lender.skipped_until = _now + k_lender_skip_time;
 		lender.open_since = steady_time{};
 	}
 }
@@ -173,33 +173,33 @@
 	account& entry = decayed_account(_subject.id, _now);
 	if (steady_time{} != entry.asked_at)
 	{
-		if (_now - entry.asked_at < k_answer_time)
+		if (_now - entry.asked_at < k_lender_response_timeout)
 		{
 			return std::nullopt;
 		}
 		on_borrow_timeout(entry, _now);
 	}
 	const double available = (_now < entry.expires_at ? entry.tokens : 0.0) - entry.fallback_used;
-	const double expected = std::floor(entry.per_s * seconds(k_horizon));
-	const bool borrow_ahead = expected >= 1.0 && available < k_borrow_below * expected;
+	const double expected = std::floor(entry.per_s * seconds(k_borrow_horizon));
+	const bool borrow_ahead = expected >= 1.0 && available < k_borrow_threshold * expected;
 	if (_now < entry.pause_until || (0 == _waiting && !borrow_ahead && 0 == entry.fallback_used))
 	{
 		return std::nullopt;
 	}
-	const bool skip_first = is_silent(_lenders.first, _now) && 0 != _lenders.backup;
+	const bool skip_first = is_unresponsive(_lenders.first, _now) && 0 != _lenders.backup;
 	entry.asked_lender = skip_first ? _lenders.backup : _lenders.first;
 	entry.asked_at = _now;
 	on_borrow_sent(entry.asked_lender, _now);
 	quota_request request;
 	request.customer = _subject.id;
 	const double wanted = std::max(1.0, static_cast<double>(_waiting) + expected - available);
-	request.wanted = static_cast<std::uint16_t>(std::min(wanted, k_most_wanted));
+	request.wanted = static_cast<std::uint16_t>(std::min(wanted, k_max_wanted_tokens));
 	entry.wanted = request.wanted;
 	request.rank = skip_first ? lender_rank::backup : lender_rank::first;
 	return request;
 }
 
-void quota_borrower::on_sent_back(const quota_grant& _grant, std::uint32_t _first)
+void quota_borrower::on_redirect(const quota_grant& _grant, std::uint32_t _first)
 {
 	m_lenders.erase(_first);
 	const auto it = m_accounts.find(_grant.customer);
@@ -221,8 +221,8 @@
 	entry.asked_at = steady_time{};
 	if (0 == _grant.granted)
 	{
-		entry.over_limit = _grant.wait > k_short_wait;
-		entry.pause_until = _now + std::clamp(_grant.wait, k_least_pause, m_bounds.max_pause);
+		entry.over_limit = _grant.wait > k_max_shortage_wait;
+		entry.pause_until = _now + std::clamp(_grant.wait, k_min_borrow_pause, m_bounds.max_pause);
 		return;
 	}
 	entry.over_limit = entry.over_limit && _grant.granted < entry.wanted;
@@ -232,7 +232,7 @@
 	entry.expires_at = _now + m_bounds.token_lifetime;
 }
 
-void quota_borrower::on_limit_fell(std::uint64_t _subject, double _part)
+void quota_borrower::on_limit_lowered(std::uint64_t _subject, double _part)
 {
 	const auto it = m_accounts.find(_subject);
 	if (m_accounts.end() != it)
@@ -241,23 +241,24 @@
 	}
 }
 
-double quota_borrower::seconds_to_come_back(const quota_subject& _subject) const
+double quota_borrower::quota_retry_delay_s(const quota_subject& _subject) const
 {
 	const auto it = m_accounts.find(_subject.id);
 	if (m_accounts.end() == it)
 	{
-		return k_back_first_s;
+		return k_quota_retry_after_min_s;
 	}
 	const account& entry = it->second;
 	const double overload = entry.per_s / std::max(1.0, entry.granted_per_s);
-	return std::clamp(k_back_first_s * overload, k_back_first_s, k_back_last_s);
+	return std::clamp(
+	    k_quota_retry_after_min_s * overload, k_quota_retry_after_min_s, k_quota_retry_after_max_s);
 }
 
-void quota_borrower::forget_idle(steady_time _now)
+void quota_borrower::evict_idle(steady_time _now)
 {
 	for (auto it = m_accounts.begin(); it != m_accounts.end();)
 	{
-		it = _now - it->second.decayed_at > k_account_kept ? m_accounts.erase(it) : std::next(it);
+		it = _now - it->second.decayed_at > k_account_idle_timeout ? m_accounts.erase(it) : std::next(it);
 	}
 }
 } // namespace larkrack
--- a/src/steering/quota_borrower_p.h
+++ b/src/steering/quota_borrower_p.h
@@ -11,16 +11,19 @@
 /// of nodes.
 ///
 /// Algorithm:
-/// - A node borrows the tokens that it needs for k_horizon at the customer's current rate here, as soon as
+/// - A node borrows the tokens that it needs for k_borrow_horizon at the customer's current rate here, as
+/// soon as
 ///   half of them are used. A need of less than one token is borrowed when a request arrives; that request
 ///   waits for the answer, one round trip.
 /// - After a refusal the node pauses before its next borrow request. Meanwhile requests wait if the lender
-///   expects the shortage to be short (k_short_wait), and are refused at once if the customer is far above
-///   its limit.
-/// - A lender without any answer for k_lender_silent while borrow requests are open is skipped for
-///   k_passed_over, for all of its customers, and the backup lender is asked. The backup lender lends if the
-///   first lender does not answer it either; otherwise it redirects the node to the first lender.
-/// - Each node owns a share of k_doubt_of_overage of the overage and of k_doubt_of_slack of the slack, its
+///   expects the shortage to be short (k_max_shortage_wait), and are refused at once if the customer is far
+///   above its limit.
+/// - A lender without any answer for k_lender_unresponsive_after while borrow requests are open is skipped
+/// for
+///   k_lender_skip_time, for all of its customers, and the backup lender is asked. The backup lender lends if
+///   the first lender does not answer it either; otherwise it redirects the node to the first lender.
+/// - Each node owns a share of k_fallback_overage_fraction of the overage and of k_fallback_slack_fraction of
+/// the slack, its
 ///   fallback allowance. A request that would have to wait uses the allowance instead, and the next borrowed
 ///   tokens refill it; while no lender answers, the allowance is all that the node may admit. Fractions of a
 ///   request are rounded up at some nodes, selected by the hash of the node's name. A node that started
@@ -28,9 +31,10 @@
 /// - Tokens that were not used for quota_bounds::token_lifetime expire: the lender has given their time to
 ///   other nodes.
 ///
-/// Above what the lender lends, nodes can admit the tokens that they hold: k_horizon of the rate.
+/// Above what the lender lends, nodes can admit the tokens that they hold: k_borrow_horizon of the rate.
 ///
-/// Owns one account of about 120 bytes for each customer with a request here in the last k_account_kept.
+/// Owns one account of about 120 bytes for each customer with a request here in the last
+/// k_account_idle_timeout.
 ///
 /// Relies on its owner to send the borrow requests that due() returns and to pass in the answers.
 #pragma once
@@ -45,29 +49,29 @@
 /// Time whose expected requests a node holds tokens for. Longer: fewer messages, more requests above the
 /// limit after a jump of the rate. Shorter: requests of customers with a high rate wait for the lender. Not
 /// measured.
-constexpr std::chrono::milliseconds k_horizon{200};
+constexpr std::chrono::milliseconds k_borrow_horizon{200};
 /// Timeout for the answer of a lender. A round trip to another region takes 70 ms, and a node with a link of
 /// 10 Mbit/s may be sending a large answer for 70 to 400 ms. Longer: requests wait longer for a crashed
 /// lender. Shorter: more borrow requests than needed, and live lenders count as unresponsive; at 100 ms, with
 /// late answers ignored, 3 of 100 requests of a quiet day were refused, at 150 ms 0.7.
-constexpr std::chrono::milliseconds k_answer_time{200};
+constexpr std::chrono::milliseconds k_lender_response_timeout{200};
 /// Time without any answer after which a lender counts as unresponsive. Longer: requests wait longer for a
 /// crashed lender. Shorter: a lender behind a narrow link counts as unresponsive.
-constexpr std::chrono::milliseconds k_lender_silent{400};
+constexpr std::chrono::milliseconds k_lender_unresponsive_after{400};
 /// Time for which an unresponsive lender is skipped. Longer: a backup lender lends beside a lender that
 /// answers again. Shorter: more requests wait for a crashed lender. Not measured.
-constexpr std::chrono::milliseconds k_passed_over{1000};
+constexpr std::chrono::milliseconds k_lender_skip_time{1000};
 /// Minimum pause after a borrow request that got no tokens. Shorter: more messages about customers above
 /// their limit. Not measured.
-constexpr std::chrono::milliseconds k_least_pause{50};
+constexpr std::chrono::milliseconds k_min_borrow_pause{50};
 /// Requests wait for tokens if the lender expects the shortage to end within this time. Longer: callers above
 /// the limit wait in vain. Shorter: customers below their limit are refused when their requests arrive in
 /// bursts. Not measured.
-constexpr std::chrono::milliseconds k_short_wait{200};
+constexpr std::chrono::milliseconds k_max_shortage_wait{200};
 /// Time constant of the average request rate of a customer at this node. Not measured.
-constexpr std::chrono::milliseconds k_account_rate_memory{1000};
+constexpr std::chrono::milliseconds k_account_rate_time_constant{1000};
 /// Idle time after which the account of a customer is removed.
-constexpr std::chrono::seconds k_account_kept{10};
+constexpr std::chrono::seconds k_account_idle_timeout{10};
 
 /// Lenders of a customer's tokens, as this node sees them.
 struct quota_lenders
@@ -91,7 +95,7 @@
 	/// @returns Never unknown.
 	quota_answer take(const quota_subject& _subject, double _nodes, steady_time _now);
 	/// Checks again whether a waiting request may proceed.
-	quota_answer take_again(const quota_subject& _subject, const quota_lenders& _lenders, steady_time _now);
+	quota_answer retry_take(const quota_subject& _subject, const quota_lenders& _lenders, steady_time _now);
 	/// Returns the token of a request that reached no backend server.
 	void give_back(const quota_subject& _subject, steady_time _now);
 	/// @param[in] _waiting Number of requests that wait for a token.
@@ -99,20 +103,20 @@
 	std::optional<quota_request> due(
 	    const quota_subject& _subject, const quota_lenders& _lenders, std::size_t _waiting, steady_time _now);
 	/// @returns Whether a lender recently left borrow requests of this node without any answer.
-	bool is_silent(std::uint32_t _lender, steady_time _now) const;
+	bool is_unresponsive(std::uint32_t _lender, steady_time _now) const;
 	/// Books the tokens of an answer. Late answers count as well: the lender has deducted their tokens.
 	/// @param[in] _lender short_hash of the lender's name; 0: it no longer lends for this customer.
 	void on_grant(const quota_grant& _grant, std::uint32_t _lender, steady_time _now);
 	/// Handles a redirect of the backup lender: the first lender is responsive.
-	void on_sent_back(const quota_grant& _grant, std::uint32_t _first);
+	void on_redirect(const quota_grant& _grant, std::uint32_t _first);
 	/// Handles a lowered limit: keeps only a fraction of the tokens that were lent under the former limit.
 	/// @param[in] _part That fraction, 0 to 1.
-	void on_limit_fell(std::uint64_t _subject, double _part);
+	void on_limit_lowered(std::uint64_t _subject, double _part);
 	/// @returns Seconds until a refused customer may find tokens, by the ratio of its request rate to its
 	/// granted rate.
-	double seconds_to_come_back(const quota_subject& _subject) const;
+	double quota_retry_delay_s(const quota_subject& _subject) const;
 	/// Removes the accounts of customers without requests.
-	void forget_idle(steady_time _now);
+	void evict_idle(steady_time _now);
 	std::size_t size() const
 	{
 		return m_accounts.size();
--- a/src/steering/quota_lender_p.h
+++ b/src/steering/quota_lender_p.h
@@ -10,12 +10,12 @@
 /// Algorithm: a token bucket for each customer with borrow requests. A node that becomes the lender of a
 /// customer does not know what its predecessor lent, so the bucket starts with the tokens that have accrued
 /// since the set of live nodes changed, or since this process started. The bucket of a backup lender starts
-/// empty and gets k_stand_in_part of the rate, since the first lender may only be slow. The limit is scaled
-/// by the ratio of live nodes to the maximum ever live: the missing nodes may be cut off by a network
+/// empty and gets k_backup_rate_fraction of the rate, since the first lender may only be slow. The limit is
+/// scaled by the ratio of live nodes to the maximum ever live: the missing nodes may be cut off by a network
 /// partition and lend as well. Without tokens the answer holds the wait for all tokens that were wanted in
 /// the last second, so that borrowers can tell a short shortage from a customer far above its limit.
 ///
-/// Owns one bucket of 56 bytes for each customer with a borrow request in the last k_bucket_kept.
+/// Owns one bucket of 56 bytes for each customer with a borrow request in the last k_bucket_idle_timeout.
 ///
 /// Relies on the nodes to agree on the first lender, except for some seconds after a change of the live
 /// nodes.
@@ -31,20 +31,20 @@
 /// lends as well. Lower: more requests are refused until a crashed lender is known to be dead. With 0.5, and
 /// a bucket that was deeper by a quarter of the slack, one of 3,000 series of faults in a model took a
 /// customer 1% above the bounds.
-constexpr double k_stand_in_part = 0.25;
+constexpr double k_backup_rate_fraction = 0.25;
 /// Fraction of the slack by which a bucket is deeper than the burst. Customers with a small burst need room
 /// for requests that arrive together.
-constexpr double k_depth_of_slack = 0.2;
+constexpr double k_bucket_slack_fraction = 0.2;
 /// Idle time after which a bucket is removed. Longer: more memory. Shorter: a customer that returns starts
 /// with less than its burst.
-constexpr std::chrono::seconds k_bucket_kept{30};
+constexpr std::chrono::seconds k_bucket_idle_timeout{30};
 
 /// A bucket is kept across a change of the live nodes if it had a borrow request within this time before the
 /// change. Longer: two bursts if another node was the lender in between. Shorter: customers lose their burst
 /// whenever a node joins or leaves. Not measured.
-constexpr std::chrono::milliseconds k_goes_on{1000};
+constexpr std::chrono::milliseconds k_bucket_carryover{1000};
 /// Time constant of the count of tokens that were wanted but not available. Not measured.
-constexpr std::chrono::milliseconds k_unmet_memory{1000};
+constexpr std::chrono::milliseconds k_unmet_time_constant{1000};
 
 /// Lends the tokens of the customers for which this node is the first lender or the backup lender.
 class quota_lender
@@ -64,7 +64,7 @@
 	/// Lends as many of the wanted tokens as the bucket has.
 	quota_grant lend(const quota_subject& _subject, const quota_request& _request, steady_time _now);
 	/// Removes buckets without borrow requests.
-	void forget_idle(steady_time _now);
+	void evict_idle(steady_time _now);
 	std::size_t size() const
 	{
 		return m_buckets.size();
--- a/src/steering/quota_p.h
+++ b/src/steering/quota_p.h
@@ -23,10 +23,10 @@
 {
 /// Time after which borrowed tokens expire. Longer: more requests above the limit. Shorter: tokens of
 /// customers with a changing rate are lost. Not measured.
-constexpr std::chrono::milliseconds k_token_life{1000};
+constexpr std::chrono::milliseconds k_token_lifetime{1000};
 /// Maximum pause after a borrow request that got no tokens. Shorter: more messages about customers above
 /// their limit. Longer: tokens reach only few nodes at a time. Not measured.
-constexpr std::chrono::milliseconds k_longest_pause{200};
+constexpr std::chrono::milliseconds k_max_borrow_pause{200};
 
 /// Bound of a customer's requests over all nodes in any window: (rate x window + burst) x (1 + overage) +
 /// slack.
@@ -35,9 +35,9 @@
 	std::chrono::milliseconds window{5000};
 	double overage = 0.0; ///< Fraction of what the limit allows.
 	double slack = 0.0;   ///< Number of requests.
-	std::chrono::milliseconds token_lifetime{k_token_life};
+	std::chrono::milliseconds token_lifetime{k_token_lifetime};
 	/// Maximum pause after a borrow request that got no tokens.
-	std::chrono::milliseconds max_pause{k_longest_pause};
+	std::chrono::milliseconds max_pause{k_max_borrow_pause};
 	/// Whether a shortage is measured by the borrow requests that got nothing, instead of by the tokens that
 	/// they wanted. For limits of which one request may try several: many tokens are wanted, but few are
 	/// needed.
@@ -78,11 +78,11 @@
 
 /// Value of quota_grant::wait that redirects the borrower: the backup lender gets answers from the first
 /// lender, so the borrower has to ask that lender again.
-constexpr std::chrono::milliseconds k_sent_back{0};
+constexpr std::chrono::milliseconds k_redirect_wait{0};
 
 /// @returns Whether the answer of a backup lender redirects the borrower to the first lender.
-inline bool sends_back(const quota_grant& _grant)
+inline bool is_redirect(const quota_grant& _grant)
 {
-	return 0 == _grant.granted && k_sent_back == _grant.wait;
+	return 0 == _grant.granted && k_redirect_wait == _grant.wait;
 }
 } // namespace larkrack
--- a/src/steering/rates_p.h
+++ b/src/steering/rates_p.h
@@ -17,7 +17,7 @@
 
 /// @returns Name under which heartbeats hold the rate of a service's requests that may run in one region
 /// only.
-inline service_name bound_part_of(const service_name& _service)
+inline service_name pinned_requests_of(const service_name& _service)
 {
 	return service_name(_service.text + "/home");
 }
--- a/src/steering/region_choice.cpp
+++ b/src/steering/region_choice.cpp
@@ -68,19 +68,20 @@
 	return regions;
 }
 
-bool leaves_freely(const region_name& _planned, const std::vector<std::string>& _home_regions)
+bool must_leave(const region_name& _planned, const std::vector<std::string>& _home_regions)
 {
 	return _planned.empty() || !allowed(_planned, _home_regions);
 }
 
-departure overflow_bucket::may_leave(const region_name& _planned,
+overflow_decision overflow_bucket::may_leave(const region_name& _planned,
     const std::vector<std::string>& _home_regions, double _requests_per_s, steady_time _now)
 {
-	if (leaves_freely(_planned, _home_regions))
+	if (must_leave(_planned, _home_regions))
 	{
-		return departure::no_choice;
+		return overflow_decision::no_choice;
 	}
-	const double per_s = std::max(k_overflow_least_per_s, k_overflow_part * _requests_per_s);
-	return m_bucket.take(per_s, k_overflow_burst, _now) ? departure::overflow : departure::denied;
+	const double per_s = std::max(k_overflow_min_per_s, k_overflow_fraction * _requests_per_s);
+	return m_bucket.take(per_s, k_overflow_burst, _now) ? overflow_decision::overflow
+	                                                    : overflow_decision::denied;
 }
 } // namespace larkrack
--- a/src/steering/region_choice_p.h
+++ b/src/steering/region_choice_p.h
@@ -14,9 +14,9 @@
 /// servers see a key. Requests without a key, requests whose key belongs to a region that is too far for the
 /// objective, and requests with large answers are divided by the shares by demand (by_share), which keep them
 /// near the caller. When the planned region has no free backend server, the others are tried by falling
-/// share, and a token bucket lets k_overflow_part of a service's requests go there: without a bound, a jump
-/// of demand moved 46 of 100 requests within 2 s. Requests whose home regions exclude the planned region take
-/// no token.
+/// share, and a token bucket lets k_overflow_fraction of a service's requests go there: without a bound, a
+/// jump of demand moved 46 of 100 requests within 2 s. Requests whose home regions exclude the planned region
+/// take no token.
 ///
 /// Alternatives (docs/DESIGN.md, "Keys"): one global place for each key, by the slots of the regions, sends
 /// two thirds of the requests to another region although nearly each key is requested in one region only.
@@ -37,10 +37,10 @@
 /// Fraction of a service's requests that may leave their planned region. More: bursts are served in other
 /// regions. Less: shifts between regions stay small. 0 costs up to 0.006 of worth, 0.1 changes nothing beyond
 /// the error (docs/DECISIONS.md).
-constexpr double k_overflow_part = 0.03;
+constexpr double k_overflow_fraction = 0.03;
 /// Minimum of this overflow rate, in requests per second, so that a service with few requests may overflow at
 /// all. Not measured.
-constexpr double k_overflow_least_per_s = 1.0;
+constexpr double k_overflow_min_per_s = 1.0;
 /// Burst of the overflow bucket: requests that may leave together after a pause. Not measured.
 constexpr double k_overflow_burst = 1.0;
 
@@ -83,10 +83,10 @@
 
 /// @returns Whether a request has to leave its planned region, because there is none or it is not among the
 /// route's home regions.
-bool leaves_freely(const region_name& _planned, const std::vector<std::string>& _home_regions);
+bool must_leave(const region_name& _planned, const std::vector<std::string>& _home_regions);
 
 /// Decision about a request that would leave its planned region.
-enum class departure
+enum class overflow_decision
 {
 	no_choice, ///< May leave: there is no planned region, or it is not a home region of the route.
 	overflow,  ///< May leave: within the overflow rate, from which it takes a token.
@@ -98,7 +98,7 @@
 {
 public:
 	/// @param[in] _requests_per_s First attempts of the service at this node.
-	departure may_leave(const region_name& _planned, const std::vector<std::string>& _home_regions,
+	overflow_decision may_leave(const region_name& _planned, const std::vector<std::string>& _home_regions,
 	    double _requests_per_s, steady_time _now);
 
 private:
--- a/src/steering/region_distances_p.h
+++ b/src/steering/region_distances_p.h
@@ -9,9 +9,9 @@
 /// full worth.
 ///
 /// Algorithm: the smallest connect time counts as the round-trip time, since connections are slow for many
-/// other reasons. A longer connect time raises the estimate by the weight k_rise only, so a path that became
-/// longer is learned slowly. A region is near enough while the estimate is at most k_near_part of the
-/// objective, or while there is no estimate.
+/// other reasons. A longer connect time raises the estimate by the weight k_rtt_rise_weight only, so a path
+/// that became longer is learned slowly. A region is near enough while the estimate is at most
+/// k_max_rtt_fraction of the objective, or while there is no estimate.
 ///
 /// Alternatives: without a bound, the way to a far region could use up the objective.
 ///
@@ -27,10 +27,10 @@
 {
 /// Weight of a sample above the estimate. Larger: a longer path is learned sooner, and more slow connections
 /// are taken for distance. Not measured.
-constexpr double k_rise = 0.01;
+constexpr double k_rtt_rise_weight = 0.01;
 /// Maximum fraction of the objective that a round trip may take. Larger: more keys stay in their region, and
 /// less time is left to run them. Chosen so that 70 ms pass for an objective of 300 ms; not measured.
-constexpr double k_near_part = 0.25;
+constexpr double k_max_rtt_fraction = 0.25;
 
 /// Estimated round-trip times to regions.
 class region_distances
@@ -42,7 +42,8 @@
 		const double measured_s = std::chrono::duration<double>(_time).count();
 		const auto it = m_rtt_s.emplace(_region, measured_s).first;
 		double& estimate_s = it->second;
-		estimate_s = measured_s < estimate_s ? measured_s : estimate_s + k_rise * (measured_s - estimate_s);
+		estimate_s =
+		    measured_s < estimate_s ? measured_s : estimate_s + k_rtt_rise_weight * (measured_s - estimate_s);
 	}
 	/// @param[in] _objective 0: the route states none, and every region is near enough.
 	bool near_enough(const region_name& _region, std::chrono::milliseconds _objective) const
@@ -52,7 +53,7 @@
 		{
 			return true;
 		}
-		return it->second <= k_near_part * std::chrono::duration<double>(_objective).count();
+		return it->second <= k_max_rtt_fraction * std::chrono::duration<double>(_objective).count();
 	}
 
 private:
--- a/src/steering/region_plan.cpp
+++ b/src/steering/region_plan.cpp
@@ -7,17 +7,17 @@
 
 namespace larkrack
 {
-figures_by_region figures_of(const region_name& _home, const std::vector<backend_state*>& _backends,
+load_by_region region_loads(const region_name& _home, const std::vector<backend_state*>& _backends,
     const demand_rates& _rates, steady_time _now)
 {
-	figures_by_region figures;
+	load_by_region figures;
 	double capacity = 0.0;
 	for (const backend_state* backend : _backends)
 	{
 		// A cold backend server bears few requests; it is left out until it is warm.
 		if (backend->usable(_now) && !backend->region.empty() && !backend->cold(_now))
 		{
-			double slots = k_planned_part * backend->registered.slots;
+			double slots = k_planned_slot_fraction * backend->registered.slots;
 			if (backend->limit.limited())
 			{
 				// The backend server's own limit admits fewer requests than would fill its slots.
@@ -27,9 +27,9 @@
 			capacity += slots;
 		}
 	}
-	for (const auto& [region, per_s] : _rates.bound_per_s)
+	for (const auto& [region, per_s] : _rates.pinned_per_s)
 	{
-		region_figures& load = figures[region];
+		region_load& load = figures[region];
 		load.capacity = std::max(0.0, load.capacity - per_s * _rates.service_time_s);
 	}
 	// The home region counts as a region with callers, even if nothing is known of it.
@@ -39,7 +39,7 @@
 		figures[region].demand += per_s * _rates.service_time_s;
 	}
 	const double unmeasured_demand =
-	    _rates.unmeasured * k_first_load * capacity / static_cast<double>(figures.size());
+	    _rates.unmeasured * k_initial_load * capacity / static_cast<double>(figures.size());
 	for (auto& [region, load] : figures)
 	{
 		load.demand += unmeasured_demand;
@@ -47,7 +47,7 @@
 	return figures;
 }
 
-share_by_region plan_shares(const region_name& _home, const figures_by_region& _figures)
+share_by_region plan_shares(const region_name& _home, const load_by_region& _figures)
 {
 	double demand = 0.0;
 	double capacity = 0.0;
@@ -57,7 +57,7 @@
 		capacity += figures.capacity;
 	}
 	share_by_region shares;
-	if (capacity < k_rounding)
+	if (capacity < k_rounding_error)
 	{
 		return shares;
 	}
@@ -65,7 +65,7 @@
 	const double home_demand = _figures.end() == home ? 0.0 : home->second.demand;
 	const double home_capacity = _figures.end() == home ? 0.0 : home->second.capacity;
 	const double granted_fraction = demand > capacity ? capacity / demand : 1.0;
-	if (home_demand * granted_fraction <= home_capacity && home_capacity > k_rounding)
+	if (home_demand * granted_fraction <= home_capacity && home_capacity > k_rounding_error)
 	{
 		shares[_home] = 1.0;
 		return shares;
@@ -79,7 +79,7 @@
 		}
 	}
 	const double home_share =
-	    home_demand < k_rounding ? 0.0 : home_capacity / (home_demand * granted_fraction);
+	    home_demand < k_rounding_error ? 0.0 : home_capacity / (home_demand * granted_fraction);
 	shares[_home] = home_share;
 	for (const auto& [region, figures] : _figures)
 	{
@@ -88,20 +88,21 @@
 			continue;
 		}
 		const double spare = std::max(0.0, figures.capacity - granted_fraction * figures.demand);
-		const double fraction =
-		    total_spare > k_rounding ? spare / total_spare : figures.capacity / (capacity - home_capacity);
+		const double fraction = total_spare > k_rounding_error
+		                            ? spare / total_spare
+		                            : figures.capacity / (capacity - home_capacity);
 		shares[region] = (1.0 - home_share) * fraction;
 	}
 	return shares;
 }
 
-region_plan plan_by_demand(const region_name& _home, const figures_by_region& _figures, double _last_capacity)
+region_plan plan_by_demand(const region_name& _home, const load_by_region& _figures, double _last_capacity)
 {
 	const bool failed = capacity_of(_figures, _home) < (1.0 - k_capacity_loss) * _last_capacity;
 	return {plan_shares(_home, _figures), failed};
 }
 
-region_plan plan_for_keys(const region_name& _home, const figures_by_region& _figures,
+region_plan plan_for_keys(const region_name& _home, const load_by_region& _figures,
     const share_by_region& _in_force, const std::vector<backend_state*>& _backends, steady_time _now)
 {
 	// Slots of backend servers that accept new requests: planned changes (drain, evacuation) are left out.
@@ -120,13 +121,13 @@
 	bool failed = false;
 	for (const auto& [region, share] : _in_force)
 	{
-		failed = failed || (share > k_rounding &&
+		failed = failed || (share > k_rounding_error &&
 		                       usable_slots[region] < (1.0 - k_capacity_loss) * existing_slots[region]);
 	}
 	return {plan_shares(_home, _figures), failed};
 }
 
-double capacity_of(const figures_by_region& _figures, const region_name& _region)
+double capacity_of(const load_by_region& _figures, const region_name& _region)
 {
 	const auto figures = _figures.find(_region);
 	return _figures.end() == figures ? 0.0 : figures->second.capacity;
--- a/src/steering/region_shares.cpp
+++ b/src/steering/region_shares.cpp
@@ -11,21 +11,21 @@
 namespace
 {
 /// Share or width below which a region gets no requests: a rounding error. Not a tuning value.
-constexpr double k_no_share = 1e-9;
+constexpr double k_min_share = 1e-9;
 /// Lower than any credit.
-constexpr double k_below_all = -1e300;
+constexpr double k_lowest_credit = -1e300;
 } // namespace
 
 share_pace pace_for(double _max_shift, std::chrono::milliseconds _window)
 {
 	const double per_s = _max_shift / std::chrono::duration<double>(_window).count();
-	return {k_shift_part_away * per_s, k_shift_part_back * per_s};
+	return {k_shift_fraction_away * per_s, k_shift_fraction_back * per_s};
 }
 
 void region_shares::move_towards(const region_plan& _plan, steady_time _now)
 {
 	const double passed = steady_time{} == m_updated_at
-	                          ? k_first_step_s
+	                          ? k_initial_step_s
 	                          : std::chrono::duration<double>(_now - m_updated_at).count();
 	m_updated_at = _now;
 	const share_by_region& planned = _plan.shares;
@@ -75,7 +75,7 @@
 	{
 		const auto credit = m_credit.find(region);
 		const double requests = m_credit.end() == credit ? 0.0 : credit->second;
-		const double width = share < k_no_share ? 0.0 : std::max(0.0, share + _width_for_credit * requests);
+		const double width = share < k_min_share ? 0.0 : std::max(0.0, share + _width_for_credit * requests);
 		widths.emplace_back(region, width);
 		sum += width;
 	}
@@ -88,7 +88,7 @@
 	region_name last = m_home;
 	for (const auto& [region, width] : widths)
 	{
-		if (width < k_no_share)
+		if (width < k_min_share)
 		{
 			continue;
 		}
@@ -109,12 +109,12 @@
 		return {};
 	}
 	region_name most_credited;
-	double highest_credit = k_below_all;
+	double highest_credit = k_lowest_credit;
 	for (const auto& [region, share] : m_shares)
 	{
 		double& credit = m_credit[region];
-		credit = std::clamp(credit + share, -k_most_credit, k_most_credit);
-		if (share > k_no_share && credit > highest_credit)
+		credit = std::clamp(credit + share, -k_max_credit, k_max_credit);
+		if (share > k_min_share && credit > highest_credit)
 		{
 			most_credited = region;
 			highest_credit = credit;
@@ -122,7 +122,7 @@
 	}
 	// Credit widens a region at its borders only, so that most keys never move.
 	region_name chosen = owner_of(_position, k_width_for_credit);
-	if (m_credit[chosen] < -k_most_overdraft && !most_credited.empty())
+	if (m_credit[chosen] < -k_max_overdraft && !most_credited.empty())
 	{
 		chosen = most_credited;
 	}
--- a/src/steering/region_shares_p.h
+++ b/src/steering/region_shares_p.h
@@ -10,16 +10,16 @@
 /// in [0, 1).
 ///
 /// Algorithm for the shares: rate limiting with one rate for each direction. Shares move away from the home
-/// region at k_shift_part_away of the permitted shift, since requests fail without that move, and back at
-/// k_shift_part_back, since the way back only saves distance and bytes. After a failure of capacity the plan
-/// takes effect at once.
+/// region at k_shift_fraction_away of the permitted shift, since requests fail without that move, and back at
+/// k_shift_fraction_back, since the way back only saves distance and bytes. After a failure of capacity the
+/// plan takes effect at once.
 ///
 /// Algorithm for the requests: each region owns an interval of [0, 1) as wide as its share (consistent
 /// hashing by position), the home region the first one. region_of() uses the position alone, for keys.
 /// next_region() also keeps to the shares in every prefix of the request sequence, by the credits of smooth
 /// weighted round robin: each request adds every region's share to its credit and deducts 1 from the chosen
 /// region. A region with credit grows at its borders by k_width_for_credit for each request of credit, so
-/// most keys never move. Only when the chosen region has overdrawn its credit by k_most_overdraft does the
+/// most keys never move. Only when the chosen region has overdrawn its credit by k_max_overdraft does the
 /// request go to the region with the highest credit instead.
 ///
 /// Alternatives:
@@ -43,23 +43,23 @@
 /// Fraction of the permitted shift that is used for requests that leave their region; the rest covers random
 /// deviations in small samples. More: shares follow demand sooner. Less: fewer requests are shifted back and
 /// forth.
-constexpr double k_shift_part_away = 0.7;
+constexpr double k_shift_fraction_away = 0.7;
 /// Fraction of the permitted shift that is used for requests that return to their home region. It is lower,
 /// since each key that returns runs once on a backend server without state for it: 0.5 gains 0.005 of worth
 /// in one deployment and loses 0.07 of a quiet day in another, whose small region has to send the keys away
 /// again (docs/DECISIONS.md).
-constexpr double k_shift_part_back = 0.3;
+constexpr double k_shift_fraction_back = 0.3;
 /// Number of requests that a region may get above its share before any key is moved away from it. More: keys
 /// stay in their region. Fewer: requests keep to the shares more closely. Not measured.
-constexpr double k_most_overdraft = 5.0;
+constexpr double k_max_overdraft = 5.0;
 /// Fraction of all positions by which a region grows for each request of credit. More: requests return to the
 /// shares sooner. Less: fewer keys move. No other width was measured.
 constexpr double k_width_for_credit = 0.03;
 /// Bound of the credits, in requests, so that a region that was unusable for a while is not flooded
 /// afterwards. Not measured.
-constexpr double k_most_credit = 8.0;
+constexpr double k_max_credit = 8.0;
 /// Time that the first step of the shares covers, in seconds: one tick of a small fleet. Not measured.
-constexpr double k_first_step_s = 0.1;
+constexpr double k_initial_step_s = 0.1;
 
 /// Rates at which shares may move, as fractions of the requests per second.
 struct share_pace
--- a/src/steering/request_times.cpp
+++ b/src/steering/request_times.cpp
@@ -18,7 +18,7 @@
 	{
 		return k_default_timeout;
 	}
-	return std::min(std::chrono::milliseconds(ms), k_longest_stated_timeout);
+	return std::min(std::chrono::milliseconds(ms), k_max_stated_timeout);
 }
 } // namespace
 
@@ -29,24 +29,24 @@
 	return _route_timeout.count() > 0 ? std::min(timeout, _route_timeout) : timeout;
 }
 
-std::chrono::milliseconds time_for_last_words(std::chrono::milliseconds _since_sent, bool _deadline_passed)
+std::chrono::milliseconds response_drain_time(std::chrono::milliseconds _since_sent, bool _deadline_passed)
 {
-	return _deadline_passed ? k_last_words
-	                        : std::max(std::chrono::milliseconds(0), k_last_words - _since_sent);
+	return _deadline_passed ? k_response_drain_time
+	                        : std::max(std::chrono::milliseconds(0), k_response_drain_time - _since_sent);
 }
 
 std::chrono::milliseconds connect_timeout(bool _same_region)
 {
-	return _same_region ? k_connect_near : k_connect_far;
+	return _same_region ? k_connect_timeout_same_region : k_connect_timeout_other_region;
 }
 
 double retry_after_s(std::minstd_rand& _random)
 {
-	return std::uniform_real_distribution<double>(k_retry_after_first_s, k_retry_after_last_s)(_random);
+	return std::uniform_real_distribution<double>(k_retry_after_min_s, k_retry_after_max_s)(_random);
 }
 
 double retry_after_rest_s(double _left_s, double _usual_s)
 {
-	return std::max(_left_s, k_retry_after_first_s) + _usual_s - k_retry_after_first_s;
+	return std::max(_left_s, k_retry_after_min_s) + _usual_s - k_retry_after_min_s;
 }
 } // namespace larkrack
--- a/src/steering/request_times_p.h
+++ b/src/steering/request_times_p.h
@@ -30,32 +30,32 @@
 constexpr std::chrono::milliseconds k_default_timeout{30000};
 /// Maximum timeout that a caller may state, in milliseconds. Keeps the arithmetic of deadlines within bounds;
 /// a route's own timeout is nearly always shorter. Not measured.
-constexpr std::chrono::milliseconds k_longest_stated_timeout{3600000};
+constexpr std::chrono::milliseconds k_max_stated_timeout{3600000};
 /// Connect timeout within the region, in milliseconds. Longer: requests wait for backend servers that are
 /// gone. Shorter: slow but healthy backend servers are given up; 80 ms here and 200 ms to other regions cost
 /// 0.001 of worth (docs/DECISIONS.md).
-constexpr std::chrono::milliseconds k_connect_near{300};
+constexpr std::chrono::milliseconds k_connect_timeout_same_region{300};
 /// Connect timeout to another region, in milliseconds.
-constexpr std::chrono::milliseconds k_connect_far{500};
+constexpr std::chrono::milliseconds k_connect_timeout_other_region{500};
 /// Minimum retry time of a refused caller, in seconds. Shorter: the caller meets the same overload and is
 /// refused for good. Longer: freed slots stay unused; 0.1 to 0.3 costs 0.003 to 0.007 of worth, measured
 /// together with the shorter wait of slot_queue_p.h (docs/DECISIONS.md).
-constexpr double k_retry_after_first_s = 0.3;
+constexpr double k_retry_after_min_s = 0.3;
 /// Maximum retry time of a refused caller, in seconds. Each caller gets a random time between the minimum
 /// and this maximum, so that callers do not return together.
-constexpr double k_retry_after_last_s = 0.8;
+constexpr double k_retry_after_max_s = 0.8;
 
 /// Time within which a backend server that rejects a request has answered: a round trip to another region and
 /// some margin. After nobody waits for an exchange any longer, its answer is still read for this time, since
 /// headers of such an answer bind this node. Longer: backend servers work for callers that have left.
 /// Shorter: a rest that a backend server of another region asks for is missed.
-constexpr std::chrono::milliseconds k_last_words{150};
+constexpr std::chrono::milliseconds k_response_drain_time{150};
 
 /// @param[in] _since_sent Time since the request was sent to the backend server.
 /// @param[in] _deadline_passed The deadline has passed: the backend server ends the request by itself, and
 /// may answer that it did not run the request.
 /// @returns How long to read the answer of an exchange that nobody waits for any longer.
-std::chrono::milliseconds time_for_last_words(std::chrono::milliseconds _since_sent, bool _deadline_passed);
+std::chrono::milliseconds response_drain_time(std::chrono::milliseconds _since_sent, bool _deadline_passed);
 /// @param[in] _stated Text of the caller's header; nothing when there is no such header. A text that is no
 /// number counts as the default.
 /// @param[in] _route_timeout Timeout of the route; 0: none.
--- a/src/steering/retry_budget_p.h
+++ b/src/steering/retry_budget_p.h
@@ -10,7 +10,7 @@
 /// service.
 ///
 /// Algorithm: a budget over a sliding window. With r the ratio and s the slack, a retry is granted while
-/// `retries + 1 <= k_retry_used_part * (r * first attempts + s / nodes)` over the last window. The ratio
+/// `retries + 1 <= k_retry_used_fraction * (r * first attempts + s / nodes)` over the last window. The ratio
 /// needs no division, because each node earns retries by its own first attempts. The slack is divided by the
 /// maximum number of nodes ever seen at once, so a node that is cut off keeps to its share.
 ///
@@ -29,7 +29,7 @@
 /// Fraction of the permitted retries that is used. For an external observer a first attempt and its retry may
 /// fall into different windows; the unused rest covers that. A smaller fraction would refuse requests that a
 /// retry could serve. Not measured.
-constexpr double k_retry_used_part = 0.75;
+constexpr double k_retry_used_fraction = 0.75;
 /// Number of intervals of a window. More: the counts follow the window more closely, but need more memory for
 /// each service. Not measured.
 constexpr int k_retry_window_intervals = 10;
@@ -48,8 +48,8 @@
 public:
 	/// @param[in] _limits Limits of all nodes together. There is no slack until set_nodes() was called.
 	explicit retry_budget(const retry_limits& _limits)
-	    : m_ratio(k_retry_used_part * _limits.ratio), m_total_slack(k_retry_used_part * _limits.slack),
-	      m_window(_limits.window)
+	    : m_ratio(k_retry_used_fraction * _limits.ratio),
+	      m_total_slack(k_retry_used_fraction * _limits.slack), m_window(_limits.window)
 	{
 	}
 	/// Sets the number of nodes that share the slack; less than one counts as one.
--- a/src/steering/rollout_evidence.cpp
+++ b/src/steering/rollout_evidence.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 /// Ratio of the bounds of one class of answer times to the bounds of the class before.
-constexpr double k_class_ratio = 1.2;
+constexpr double k_time_class_ratio = 1.2;
 } // namespace
 
 void version_counts::add(const version_counts& _other)
@@ -28,7 +28,7 @@
 void version_counts::count_time(std::chrono::milliseconds _time)
 {
 	const double ms = std::max(1.0, static_cast<double>(_time.count()));
-	const auto index = static_cast<std::size_t>(std::log(ms) / std::log(k_class_ratio));
+	const auto index = static_cast<std::size_t>(std::log(ms) / std::log(k_time_class_ratio));
 	++times[std::min(index, k_time_classes - 1)];
 }
 
@@ -59,7 +59,7 @@
 	{
 		return known->second;
 	}
-	return _evidence[_evidence.size() < k_told_routes ? _route : std::string()];
+	return _evidence[_evidence.size() < k_max_separate_routes ? _route : std::string()];
 }
 
 void add_evidence(rollout_evidence& _sum, const rollout_evidence& _one)
@@ -72,8 +72,8 @@
 	}
 }
 
-double times_longer(std::size_t _class, std::size_t _than)
+double time_ratio(std::size_t _class, std::size_t _than)
 {
-	return std::pow(k_class_ratio, static_cast<double>(_class) - static_cast<double>(_than));
+	return std::pow(k_time_class_ratio, static_cast<double>(_class) - static_cast<double>(_than));
 }
 } // namespace larkrack
--- a/src/steering/rollout_evidence_p.h
+++ b/src/steering/rollout_evidence_p.h
@@ -24,7 +24,7 @@
 constexpr std::size_t k_time_classes = 60;
 /// Maximum number of routes with counts of their own; all further routes count together. A message with this
 /// number of routes fits into one datagram.
-constexpr std::size_t k_told_routes = 8;
+constexpr std::size_t k_max_separate_routes = 8;
 
 /// Counts of the requests at the backend servers of one side: the target version, or all others.
 struct version_counts
@@ -59,5 +59,5 @@
 /// Adds the evidence of one node to the sum.
 void add_evidence(rollout_evidence& _sum, const rollout_evidence& _one);
 /// @returns Ratio of an answer time of one class to an answer time of another.
-double times_longer(std::size_t _class, std::size_t _than);
+double time_ratio(std::size_t _class, std::size_t _than);
 } // namespace larkrack
--- a/src/steering/rollout_plan.cpp
+++ b/src/steering/rollout_plan.cpp
@@ -10,13 +10,13 @@
 /// Fraction of a rollout's duration after which a version that was not found bad serves all requests. Later:
 /// the rollout completes late when the store is slow. Sooner: a version that turns bad late is not detected.
 /// Not measured.
-constexpr double k_complete_at = 0.8;
+constexpr double k_complete_fraction = 0.8;
 /// Fraction of a rollout's duration after which a version without any request is rolled back. Not measured.
-constexpr double k_give_up_at = 0.95;
+constexpr double k_give_up_fraction = 0.95;
 /// Milliseconds for which the backup node lets the first node write. Longer: a crashed first node delays a
 /// verdict. Shorter: both nodes write, and one write is refused. A conditional write and its notification
 /// take about 0.2 s.
-constexpr std::chrono::milliseconds k_stand_in_wait{1000};
+constexpr std::chrono::milliseconds k_backup_write_delay{1000};
 
 bool elapsed(
     steady_time::duration _passed, const rollout_order& _order, double _part, steady_time::duration _wait)
@@ -33,20 +33,20 @@
 		return std::nullopt;
 	}
 	const steady_time::duration wait =
-	    decider_rank::first == _view.rank ? steady_time::duration{} : k_stand_in_wait;
+	    decider_rank::first == _view.rank ? steady_time::duration{} : k_backup_write_delay;
 	if (_view.verdict.is_bad())
 	{
-		return _view.found_bad >= wait
+		return _view.bad_for >= wait
 		           ? std::optional<rollout_step>({rollout_state::rolled_back, rollout_reason::judged_bad})
 		           : std::nullopt;
 	}
-	if (_view.ended_at_target > 0 && elapsed(_view.passed, _order, k_complete_at, wait))
+	if (_view.ended_at_target > 0 && elapsed(_view.passed, _order, k_complete_fraction, wait))
 	{
 		return rollout_step{rollout_state::complete, rollout_reason::judged};
 	}
-	if (elapsed(_view.passed, _order, k_give_up_at, wait))
+	if (elapsed(_view.passed, _order, k_give_up_fraction, wait))
 	{
-		return rollout_step{rollout_state::rolled_back, rollout_reason::not_seen};
+		return rollout_step{rollout_state::rolled_back, rollout_reason::no_requests};
 	}
 	if (!_view.written && _view.passed >= wait)
 	{
--- a/src/steering/rollout_plan_p.h
+++ b/src/steering/rollout_plan_p.h
@@ -9,10 +9,11 @@
 ///
 /// Algorithm:
 /// - "running" is written at once; "rolled back" as soon as the version is found bad; "complete" at
-///   k_complete_at of the duration, if requests have ended at the target version and it was not found bad.
-///   Until then the version is watched, so one that turns bad late is detected. A version without any request
-///   by k_give_up_at of the duration is rolled back, since nothing is known about it.
-/// - The first of two nodes (node_ring_p.h) writes; the backup node writes k_stand_in_wait later if the state
+///   k_complete_fraction of the duration, if requests have ended at the target version and it was not found
+///   bad. Until then the version is watched, so one that turns bad late is detected. A version without any
+///   request by k_give_up_fraction of the duration is rolled back, since nothing is known about it.
+/// - The first of two nodes (node_ring_p.h) writes; the backup node writes k_backup_write_delay later if the
+/// state
 ///   has not changed. Both write under the condition that the key in the store is unchanged, so a decided
 ///   rollout stays decided, even if several nodes consider themselves the first.
 ///
@@ -43,7 +44,7 @@
 {
 	std::optional<rollout_state> written; ///< State in the store; nothing: no status of this order.
 	steady_time::duration passed{};       ///< Time since this node learned of the order.
-	steady_time::duration found_bad{};    ///< Time since the evidence first showed that the version is bad.
+	steady_time::duration bad_for{};      ///< Time since the evidence first showed that the version is bad.
 	rollout_verdict verdict;
 	std::uint32_t ended_at_target = 0; ///< Requests that ended at the target version.
 	decider_rank rank = decider_rank::none;
@@ -52,10 +53,10 @@
 /// Reason for which a state is written.
 enum class rollout_reason
 {
-	ordered,    ///< Running: this node knows the order.
-	judged_bad, ///< Rolled back: the evidence shows that the version is bad.
-	not_seen,   ///< Rolled back: no request ended at the target version in time.
-	judged,     ///< Complete: the version was not found bad in time.
+	ordered,     ///< Running: this node knows the order.
+	judged_bad,  ///< Rolled back: the evidence shows that the version is bad.
+	no_requests, ///< Rolled back: no request ended at the target version in time.
+	judged,      ///< Complete: the version was not found bad in time.
 };
 
 /// State that a node has to write.
--- a/src/steering/rollout_share_p.h
+++ b/src/steering/rollout_share_p.h
@@ -7,8 +7,8 @@
 /// Inputs: the maximum fraction of a service's requests, over all nodes, that such a version may get (the
 /// operator's bound); each request and the position of its affinity key in [0, 1).
 ///
-/// Algorithm: keys with a position below k_exposed_part of the bound go to the version, so that each of these
-/// keys runs only once on a backend server without state for it; a request without a key draws a random
+/// Algorithm: keys with a position below k_exposed_fraction of the bound go to the version, so that each of
+/// these keys runs only once on a backend server without state for it; a request without a key draws a random
 /// position. A node never sends more than that fraction of the requests that it took since the order. Since
 /// each node keeps to the fraction of its own requests, the sum keeps to the fraction of all requests,
 /// whichever nodes are cut off, slow or restarted, and without messages between them.
@@ -29,14 +29,14 @@
 {
 /// Fraction of the bound that is used; the rest covers retries, and orders that reach nodes one after the
 /// other. Higher: a verdict comes sooner. Lower: fewer requests reach a bad version. Not measured.
-constexpr double k_exposed_part = 0.9;
+constexpr double k_exposed_fraction = 0.9;
 
 /// Divides the requests of one rollout at one node.
 class rollout_share
 {
 public:
 	/// @param[in] _bound Maximum fraction of the requests that a version may get while it is judged, 0 to 1.
-	explicit rollout_share(double _bound = 0.0) : m_fraction(k_exposed_part * _bound)
+	explicit rollout_share(double _bound = 0.0) : m_fraction(k_exposed_fraction * _bound)
 	{
 	}
 	/// Counts a request of the service.
--- a/src/steering/rollout_verdict.cpp
+++ b/src/steering/rollout_verdict.cpp
@@ -14,10 +14,10 @@
 /// version that is a little worse is not detected. Lower: more requests until a verdict. Not measured.
 constexpr double k_failure_ratio = 2.5;
 /// Fraction of the requests that a bad version fails in addition to that ratio. Same trade-off.
-constexpr double k_failure_step = 0.03;
+constexpr double k_failure_offset = 0.03;
 /// Maximum failure rate that the test assumes; with 1, a single good answer would prove that the version is
 /// not bad.
-constexpr double k_most_failures = 0.9;
+constexpr double k_max_failure_rate = 0.9;
 /// Probability with which one test takes a good version for bad. Lower: more requests until a verdict; a
 /// version that fails 4 of 10 requests is found by its 6th failure at 1e-4 (calculated).
 constexpr double k_false_alarm = 1e-4;
@@ -25,10 +25,10 @@
 constexpr double k_prior_failures = 1.0;
 /// Minimum number of answers of each side for a comparison of answer times. More: a slow version is found
 /// later. Fewer: a tenth of the answers is too small a sample. Not measured.
-constexpr std::uint32_t k_least_timed = 60;
+constexpr std::uint32_t k_min_timed_answers = 60;
 /// Quantile of the answer times that is compared. Higher: includes runs on unknown keys. Lower: less stable.
 /// Not measured.
-constexpr double k_fast_part = 0.1;
+constexpr double k_fast_quantile = 0.1;
 /// Ratio of answer times from which on a version is slow. Higher: a version that is twice as slow is not
 /// found. Lower: versions whose times differ by one class (a fifth) are taken for slow. Not measured.
 constexpr double k_slow_ratio = 1.6;
@@ -37,7 +37,7 @@
 {
 	const double usual =
 	    (_evidence.others.failed + k_prior_failures) / (_evidence.others.ended + 2.0 * k_prior_failures);
-	const double bad = std::min(k_most_failures, k_failure_ratio * usual + k_failure_step);
+	const double bad = std::min(k_max_failure_rate, k_failure_ratio * usual + k_failure_offset);
 	if (bad <= usual)
 	{
 		return false; // The others fail nearly always, so there is nothing to compare with.
@@ -50,12 +50,12 @@
 
 bool is_slower(const route_evidence& _evidence)
 {
-	if (std::min(_evidence.target.timed(), _evidence.others.timed()) < k_least_timed)
+	if (std::min(_evidence.target.timed(), _evidence.others.timed()) < k_min_timed_answers)
 	{
 		return false;
 	}
-	return times_longer(_evidence.target.quantile(k_fast_part), _evidence.others.quantile(k_fast_part)) >=
-	       k_slow_ratio;
+	return time_ratio(_evidence.target.quantile(k_fast_quantile),
+	           _evidence.others.quantile(k_fast_quantile)) >= k_slow_ratio;
 }
 } // namespace
 
--- a/src/steering/rollout_verdict_p.h
+++ b/src/steering/rollout_verdict_p.h
@@ -10,9 +10,9 @@
 /// on one route of many is found on that route, and a version that is a little bad on all routes is found in
 /// the sum:
 /// - failures: a sequential probability ratio test of "fails as often as the others on the same route, at the
-///   same time" against "fails k_failure_ratio times as often and k_failure_step more". One failure is added
-///   to those of the others, so that a few failures alone never make a verdict. A fault that affects all
-///   backend servers raises the rates of both sides and does not count against the version.
+///   same time" against "fails k_failure_ratio times as often and k_failure_offset more". One failure is
+///   added to those of the others, so that a few failures alone never make a verdict. A fault that affects
+///   all backend servers raises the rates of both sides and does not count against the version.
 /// - times: the fastest tenth of the answers takes k_slow_ratio times as long as that of the others. The
 ///   fastest answers of both sides are runs on known keys, whatever fraction of the keys the new version
 ///   knows; answers of cold backend servers are excluded.
--- a/src/steering/served_lately_p.h
+++ b/src/steering/served_lately_p.h
@@ -20,22 +20,23 @@
 {
 /// Time for which a request counts as recently served. Longer: a request that a new release has broken is
 /// blamed later.
-constexpr std::chrono::seconds k_served_lately{5};
+constexpr std::chrono::seconds k_recently_served_time{5};
 /// Number of entries, 16 bytes each. Fewer: a popular request is displaced by others.
-constexpr std::size_t k_served_places = 1024;
+constexpr std::size_t k_recently_served_entries = 1024;
 
 /// Table of the recently served requests.
-class served_lately
+class recently_served
 {
 public:
 	void note(std::uint64_t _request, steady_time _now)
 	{
-		m_entries[_request % k_served_places] = {_request, _now};
+		m_entries[_request % k_recently_served_entries] = {_request, _now};
 	}
 	bool has(std::uint64_t _request, steady_time _now) const
 	{
-		const entry& found = m_entries[_request % k_served_places];
-		return found.request == _request && steady_time{} != found.at && _now - found.at <= k_served_lately;
+		const entry& found = m_entries[_request % k_recently_served_entries];
+		return found.request == _request && steady_time{} != found.at &&
+		       _now - found.at <= k_recently_served_time;
 	}
 
 private:
@@ -44,6 +45,6 @@
 		std::uint64_t request = 0;
 		steady_time at{};
 	};
-	std::array<entry, k_served_places> m_entries{};
+	std::array<entry, k_recently_served_entries> m_entries{};
 };
 } // namespace larkrack
--- a/src/steering/service_split.cpp
+++ b/src/steering/service_split.cpp
@@ -8,9 +8,9 @@
 namespace
 {
 /// Weight, or sum of weights, that is a rounding error and counts as 0. Not a tuning value.
-constexpr double k_no_weight = 1e-9;
+constexpr double k_min_weight = 1e-9;
 /// Lower than any credit.
-constexpr double k_below_all = -1e300;
+constexpr double k_lowest_credit = -1e300;
 } // namespace
 
 const route_target& service_split::next(const std::vector<route_target>& _targets)
@@ -21,12 +21,12 @@
 		sum += target.weight;
 	}
 	const route_target* chosen = &_targets.front();
-	double best = k_below_all;
+	double best = k_lowest_credit;
 	for (const route_target& target : _targets)
 	{
 		double& credit = m_credit[target.service];
-		credit += sum > k_no_weight ? target.weight / sum : 0.0;
-		if (target.weight > k_no_weight && credit > best)
+		credit += sum > k_min_weight ? target.weight / sum : 0.0;
+		if (target.weight > k_min_weight && credit > best)
 		{
 			chosen = &target;
 			best = credit;
--- a/src/steering/service_steering.cpp
+++ b/src/steering/service_steering.cpp
@@ -7,7 +7,7 @@
 
 namespace larkrack
 {
-std::chrono::milliseconds plan_pause(std::size_t _backends)
+std::chrono::milliseconds min_plan_interval(std::size_t _backends)
 {
 	/// Microseconds between two plans for each backend server. Longer: shares follow demand later. Shorter:
 	/// more CPU time. Not measured alone.
@@ -27,17 +27,17 @@
 {
 	demand_rates rates{
 	    std::move(_per_s_elsewhere), demand.service_time_s(), 0.0, std::move(_pinned_elsewhere)};
-	for (const auto& [region, per_s] : bound_per_s())
+	for (const auto& [region, per_s] : pinned_per_s())
 	{
-		rates.bound_per_s[region] += per_s;
+		rates.pinned_per_s[region] += per_s;
 	}
 	rates.per_s[m_home] += demand.requests_per_s();
 	rates.unmeasured = m_first_rates.unmeasured(rates.per_s, _now);
-	figures_by_region figures = figures_of(m_home, _backends, rates, _now);
+	load_by_region figures = region_loads(m_home, _backends, rates, _now);
 	shares.by_demand.move_towards(plan_by_demand(m_home, figures, m_last_capacity), _now);
 	m_last_capacity = capacity_of(figures, m_home);
 	rates.per_s = m_peaks.update(rates.per_s, _now);
-	const figures_by_region at_peaks = figures_of(m_home, _backends, rates, _now);
+	const load_by_region at_peaks = region_loads(m_home, _backends, rates, _now);
 	shares.of_keys.move_towards(
 	    plan_for_keys(m_home, at_peaks, shares.of_keys.shares(), _backends, _now), _now);
 	const double home_share = shares.by_demand.share_of(m_home);
@@ -58,7 +58,7 @@
 	}
 }
 
-rate_by_region service_steering::bound_per_s() const
+rate_by_region service_steering::pinned_per_s() const
 {
 	rate_by_region rates;
 	for (const auto& [region, meter] : m_pinned)
--- a/src/steering/service_steering_p.h
+++ b/src/steering/service_steering_p.h
@@ -41,13 +41,13 @@
 /// @param[in] _backends Number of backend servers of all services.
 /// @returns An interval at which planning takes 0.3% of a core at any size: 1 s for 10,000 backend servers,
 /// while a fleet with up to 1,000 plans at each tick. Shares follow a change later by that interval.
-std::chrono::milliseconds plan_pause(std::size_t _backends);
+std::chrono::milliseconds min_plan_interval(std::size_t _backends);
 
 /// Change of the shares that is logged, with the demand and capacity that led to it.
 struct share_change
 {
 	double home_share = 0.0;
-	figures_by_region figures;
+	load_by_region figures;
 };
 
 /// State of one service at this node.
@@ -70,7 +70,7 @@
 	}
 
 	/// Counts a first attempt that may run in one region only. The shares do not apply to it.
-	void count_bound(const region_name& _region)
+	void count_pinned(const region_name& _region)
 	{
 		m_pinned[_region].count_arrival();
 	}
@@ -78,7 +78,7 @@
 	/// @param[in] _passed_s Time since the last tick.
 	void tick(double _passed_s);
 	/// @returns Requests per second that may run in one region only, by that region.
-	rate_by_region bound_per_s() const;
+	rate_by_region pinned_per_s() const;
 	/// @returns Approximate requests per second that this node sends to a region, of those with or without a
 	/// key like this request.
 	double sent_per_s(const region_name& _region, affinity_key _key) const;
--- a/src/steering/shared_budgets.cpp
+++ b/src/steering/shared_budgets.cpp
@@ -11,14 +11,14 @@
 {
 /// Fraction of the slow start rate that is used. Higher: bursts of several nodes may exceed the limit of the
 /// service. Lower: a cold backend server is warm later. Not measured.
-constexpr double k_warmup_part = 0.9;
+constexpr double k_warmup_fraction = 0.9;
 /// A node relies on the choice by consistent hashing while it sees at least one of this number of nodes of
 /// its region. Higher: small partitions send too much to cold backend servers. Lower: a few nodes down
 /// disable the choice. Not measured.
-constexpr std::size_t k_region_per_seen = 2;
+constexpr std::size_t k_max_region_per_live = 2;
 } // namespace
 
-void node_census::on_seen(std::size_t _nodes, std::size_t _in_region)
+void node_count_maximum::on_nodes_counted(std::size_t _nodes, std::size_t _in_region)
 {
 	m_max_nodes = std::max(m_max_nodes, _nodes);
 	m_max_in_region = std::max(m_max_in_region, _in_region);
@@ -31,7 +31,7 @@
 
 warmup_decision plan_warmup(std::size_t _region_nodes, std::size_t _max_in_region, bool _chosen)
 {
-	if (k_region_per_seen * _region_nodes < _max_in_region)
+	if (k_max_region_per_live * _region_nodes < _max_in_region)
 	{
 		return {1.0 / static_cast<double>(_max_in_region), warmup_reason::cut_off};
 	}
@@ -41,6 +41,6 @@
 
 double warmup_rate(double _per_s, double _part)
 {
-	return k_warmup_part * _per_s * _part;
+	return k_warmup_fraction * _per_s * _part;
 }
 } // namespace larkrack
--- a/src/steering/shared_budgets_p.h
+++ b/src/steering/shared_budgets_p.h
@@ -21,7 +21,7 @@
 /// - division by the nodes that are seen now: in a network partition both sides would spend the whole budget;
 ///   not measured.
 ///
-/// Owns the maximum node counts (node_census). Relies on node_liveness for which nodes are live.
+/// Owns the maximum node counts (node_count_maximum). Relies on node_liveness for which nodes are live.
 #pragma once
 
 #include <cstddef>
@@ -35,18 +35,18 @@
 };
 
 /// Maximum number of nodes ever seen at once, including this one.
-class node_census
+class node_count_maximum
 {
 public:
 	/// Updates the maxima with the number of nodes seen now.
-	void on_seen(std::size_t _nodes, std::size_t _in_region);
+	void on_nodes_counted(std::size_t _nodes, std::size_t _in_region);
 	/// @returns Number of nodes that share the budgets.
 	sharing sharers() const
 	{
 		return {static_cast<double>(m_max_nodes)};
 	}
 	/// @returns Maximum number of nodes of this region ever seen at once.
-	std::size_t most_in_region() const
+	std::size_t max_in_region() const
 	{
 		return m_max_in_region;
 	}
--- a/src/steering/slot_portion.cpp
+++ b/src/steering/slot_portion.cpp
@@ -14,13 +14,13 @@
 	return static_cast<int>(std::floor(end * slots + offset) - std::floor(begin * slots + offset));
 }
 
-slot_portion plan_slot_portion(double _own_per_s, const rates_of_others& _others)
+slot_portion plan_slot_portion(double _own_per_s, const other_nodes_rates& _others)
 {
-	const double all = _own_per_s + _others.all_per_s;
+	const double all = _own_per_s + _others.total_per_s;
 	if (_own_per_s <= 0.0)
 	{
 		return all > 0.0 ? slot_portion{0.0, 0.0} : slot_portion{};
 	}
-	return {_others.before_per_s / all, (_others.before_per_s + _own_per_s) / all};
+	return {_others.preceding_per_s / all, (_others.preceding_per_s + _own_per_s) / all};
 }
 } // namespace larkrack
--- a/src/steering/slot_portion_p.h
+++ b/src/steering/slot_portion_p.h
@@ -39,13 +39,13 @@
 };
 
 /// Requests per second that the other live nodes send to a region for a service.
-struct rates_of_others
+struct other_nodes_rates
 {
-	double all_per_s = 0.0;
-	double before_per_s = 0.0; ///< Of the nodes whose names precede this node's name.
+	double total_per_s = 0.0;
+	double preceding_per_s = 0.0; ///< Of the nodes whose names precede this node's name.
 };
 
 /// @param[in] _own_per_s Requests per second that this node sends to the region.
 /// @returns This node's interval.
-slot_portion plan_slot_portion(double _own_per_s, const rates_of_others& _others);
+slot_portion plan_slot_portion(double _own_per_s, const other_nodes_rates& _others);
 } // namespace larkrack
--- a/src/steering/slot_queue_p.h
+++ b/src/steering/slot_queue_p.h
@@ -8,11 +8,11 @@
 /// priority (0 is the highest).
 ///
 /// Algorithm: early load shedding. A request that finds no backend server with a free slot waits for
-/// k_wait_part of its objective. Then it is refused as not run (reason no_headroom) with a retry time, since
-/// a late answer is worth little and occupies a slot. Within a service, requests are ordered by priority, and
-/// within a priority by arrival. When the first request finds no slot, the requests behind it are not tried:
-/// requests of one service compete for the same backend servers. A request waits once; a further attempt
-/// (attempt_rules_p.h) is made at once or not at all.
+/// k_wait_fraction of its objective. Then it is refused as not run (reason no_headroom) with a retry time,
+/// since a late answer is worth little and occupies a slot. Within a service, requests are ordered by
+/// priority, and within a priority by arrival. When the first request finds no slot, the requests behind it
+/// are not tried: requests of one service compete for the same backend servers. A request waits once; a
+/// further attempt (attempt_rules_p.h) is made at once or not at all.
 ///
 /// Alternatives: none was measured. Each waiting request uses memory of the node until it ends.
 ///
@@ -30,20 +30,20 @@
 /// Shorter: more time is left to run, and callers learn sooner that there is no free slot; twice the value
 /// costs 0.004 of worth where the objective is short, four times the value 0.015 where slots are few
 /// (docs/DECISIONS.md).
-constexpr double k_wait_part = 0.1;
+constexpr double k_wait_fraction = 0.1;
 /// Maximum wait when the route has no objective, in milliseconds. Not measured.
-constexpr std::chrono::milliseconds k_wait_default{100};
+constexpr std::chrono::milliseconds k_default_wait{100};
 
 /// @param[in] _objective Objective of the route; 0: it has none.
 /// @returns Maximum time that a request waits for a slot.
-inline std::chrono::milliseconds longest_wait(std::chrono::milliseconds _objective)
+inline std::chrono::milliseconds max_slot_wait(std::chrono::milliseconds _objective)
 {
 	if (_objective.count() <= 0)
 	{
-		return k_wait_default;
+		return k_default_wait;
 	}
 	return std::chrono::milliseconds(
-	    static_cast<std::int64_t>(k_wait_part * static_cast<double>(_objective.count())));
+	    static_cast<std::int64_t>(k_wait_fraction * static_cast<double>(_objective.count())));
 }
 
 /// Requests of one service that wait for a slot.
--- a/src/steering/state_copy_p.h
+++ b/src/steering/state_copy_p.h
@@ -17,8 +17,9 @@
 ///   ask further away, or read the store, each after twice the delay of the node before: a copy enters a
 ///   failure domain a few times instead of once for each node.
 /// - The store is read (by its cheaper read that may be outdated) when no node has the keys, after listening
-///   for k_listen_first, or when no page has arrived for k_page_patience and the node's own turn has come.
-/// - A node sends pages at k_given_per_s: the rest of its link is for callers.
+///   for k_initial_listen_time, or when no page has arrived for k_page_timeout and the node's own turn has
+///   come.
+/// - A node sends pages at k_page_bytes_per_s: the rest of its link is for callers.
 ///
 /// Patterns: a start of all nodes at once, and nodes that join. With 986 nodes and 10,002 backend servers a
 /// copy has 3 MB: no answer in one piece arrived in time over links of 20 Mbit/s, so each node read the
@@ -35,8 +36,8 @@
 /// - one answer with all keys: its timeout holds for one size only;
 /// - a sender drawn among all nodes: two thirds of the copies cross regions.
 ///
-/// Owns the send rate of this node's pages (page_limit). Relies on node_liveness for which nodes are live,
-/// and on state_replica for pages and their order.
+/// Owns the send rate of this node's pages (page_rate_limit). Relies on node_liveness for which nodes are
+/// live, and on state_replica for pages and their order.
 #pragma once
 
 #include "base/clock_p.h"
@@ -63,9 +64,9 @@
 	/// keys.
 	steady_time::duration since_page{};
 	std::size_t rank = 0; ///< Number of nodes of its failure domain without the keys that rank before it.
-	bool domain_knows = false; ///< Whether a live node of the failure domain has the keys.
-	bool region_knows = false; ///< Whether a live node of the region has the keys.
-	bool anyone_knows = false; ///< Whether any live node has the keys.
+	bool domain_has_keys = false; ///< Whether a live node of the failure domain has the keys.
+	bool region_has_keys = false; ///< Whether a live node of the region has the keys.
+	bool anyone_has_keys = false; ///< Whether any live node has the keys.
 };
 
 /// @returns The source of the next page, or that the node has to wait.
@@ -73,21 +74,21 @@
 
 /// Interval in milliseconds at which a node checks whether the keys have arrived. Longer: a node is ready
 /// later. Shorter: more wake-ups. Not measured.
-constexpr std::chrono::milliseconds k_copy_step{25};
+constexpr std::chrono::milliseconds k_copy_check_interval{25};
 /// Milliseconds after which a node that got no page asks again. Not measured.
-constexpr std::chrono::milliseconds k_copy_pause{50};
+constexpr std::chrono::milliseconds k_copy_retry_pause{50};
 /// Bytes of keys and values in one page. More: a page occupies a narrow link for longer. Fewer: more round
 /// trips, 70 ms each to another region. A compressed page has about an eighth of these bytes.
 constexpr std::size_t k_page_bytes = 262144;
 
 /// Limits the rate of the pages that this node sends, by their bytes as sent.
-class page_limit
+class page_rate_limit
 {
 public:
 	/// @returns Whether a page may be sent now.
-	bool may_give(steady_time _now) const;
+	bool may_send_page(steady_time _now) const;
 	/// Counts a page that was sent.
-	void on_given(std::size_t _bytes, steady_time _now);
+	void on_page_sent(std::size_t _bytes, steady_time _now);
 
 private:
 	steady_time m_free_at{}; ///< Time at which all pages are sent, at the steady rate.
--- a/src/steering/store_pacing_p.h
+++ b/src/steering/store_pacing_p.h
@@ -11,7 +11,7 @@
 /// Algorithm: exponential backoff with jitter; a pause is drawn between half of the bound and the bound,
 /// which doubles with each attempt. A node registers under a lease and renews it at a third of its time to
 /// live; when the store answers that the lease has expired, the node registers again. A reader collects
-/// changes for k_batch_pause, so that many changes cost one call.
+/// changes for k_batch_delay, so that many changes cost one call.
 ///
 /// Alternatives (docs/DESIGN.md, "State"):
 /// - a call for each change: prices 0.181 and worth 0.701 on a quiet day of 80 nodes; collected, with three
@@ -29,11 +29,11 @@
 {
 /// Interval in milliseconds at which a node checks whether it has become a reader. Longer: a region whose
 /// readers crashed waits longer. Shorter: more wake-ups. Not measured.
-constexpr std::chrono::milliseconds k_reader_check{200};
+constexpr std::chrono::milliseconds k_reader_check_interval{200};
 /// Milliseconds for which changes are collected after a batch, so that many of them cost one call. Longer:
 /// changes arrive later. Shorter: more calls. Prices 0.181 to 0.155 on a quiet day of 80 nodes, together with
 /// three readers; 500 ms changes nothing beyond the error.
-constexpr std::chrono::milliseconds k_batch_pause{250};
+constexpr std::chrono::milliseconds k_batch_delay{250};
 /// Time to live of a node's registration without a renewal, in seconds. Longer: a crashed node stays
 /// registered. Shorter: more calls. Not measured alone.
 constexpr std::chrono::seconds k_registration_ttl{30};
@@ -42,7 +42,7 @@
 constexpr std::chrono::seconds k_registration_renewal{10};
 /// Number of failed attempts with which the backoff of a registration starts, so that it pauses for the
 /// maximum at once: nothing waits for a registration. Not measured.
-constexpr int k_registration_tries = 4;
+constexpr int k_registration_initial_failures = 4;
 
 /// Draws the pause after a failed attempt.
 /// @param[in] _tries Number of attempts that failed before it, in a row; not negative.
@@ -51,5 +51,5 @@
 /// @param[in] _done Whether the store answered the renewal.
 /// @param[in] _left Remaining time to live of the lease by that answer; 0: the lease has expired.
 /// @returns Whether the node has to register again.
-bool registration_lapsed(bool _done, std::chrono::seconds _left);
+bool registration_expired(bool _done, std::chrono::seconds _left);
 } // namespace larkrack
--- a/src/steering/store_readers.cpp
+++ b/src/steering/store_readers.cpp
@@ -19,14 +19,14 @@
 constexpr std::size_t k_region_readers = 3;
 /// Milliseconds for which a node waits for datagrams before it asks another node. Longer: a lost datagram is
 /// replaced later. Shorter: nodes ask for changes that are already on their way. Not measured.
-constexpr std::chrono::milliseconds k_behind{60};
+constexpr std::chrono::milliseconds k_catch_up_delay{60};
 /// Maximum doublings of that wait while a newer configuration is unavailable, or refused by this node: up to
 /// 1 s for a node that does not read the store. More: the configuration arrives later. Fewer: more calls in
 /// vain. Not measured.
-constexpr int k_behind_doublings = 4;
+constexpr int k_max_catch_up_doublings = 4;
 /// Wait of a node that reads the store itself, in milliseconds: its own watch delivers the change soon,
-/// within the time for which changes are collected (k_batch_pause). Not measured.
-constexpr std::chrono::milliseconds k_behind_reader{400};
+/// within the time for which changes are collected (k_batch_delay). Not measured.
+constexpr std::chrono::milliseconds k_reader_catch_up_delay{400};
 /// @returns The node to ask among those that meet the condition: of this node's failure domain if possible,
 /// else of its region, else any.
 template <typename Condition>
@@ -68,19 +68,19 @@
 	return {reads, reads ? reader_reason::ranks_first : reader_reason::others_read, rank};
 }
 
-bool all_read(std::size_t _others)
+bool all_nodes_read(std::size_t _others)
 {
 	return _others < k_region_readers;
 }
 
-std::chrono::milliseconds wait_before_asking(bool _reads)
+std::chrono::milliseconds catch_up_delay(bool _reads)
 {
-	return _reads ? k_behind_reader : k_behind;
+	return _reads ? k_reader_catch_up_delay : k_catch_up_delay;
 }
 
-std::chrono::milliseconds wait_before_asking_routes(bool _reads, int _tries)
+std::chrono::milliseconds config_catch_up_delay(bool _reads, int _tries)
 {
-	return wait_before_asking(_reads) * (1 << std::min(_tries, k_behind_doublings));
+	return catch_up_delay(_reads) * (1 << std::min(_tries, k_max_catch_up_doublings));
 }
 
 const node_heartbeat* choose_peer(const node_heartbeat& _self, std::int64_t _store_revision,
@@ -93,7 +93,7 @@
 	    });
 }
 
-const node_heartbeat* choose_peer_for_routes(const node_heartbeat& _self, std::uint64_t _config_version,
+const node_heartbeat* choose_config_peer(const node_heartbeat& _self, std::uint64_t _config_version,
     const std::vector<const node_heartbeat*>& _live)
 {
 	return choose_node(_self, _live,
--- a/src/steering/store_readers_p.h
+++ b/src/steering/store_readers_p.h
@@ -52,14 +52,14 @@
 
 /// @param[in] _others Live nodes of the region other than this one.
 /// @returns Whether all nodes of the region read the store, so that no node needs to be sent changes.
-bool all_read(std::size_t _others);
+bool all_nodes_read(std::size_t _others);
 
 /// @returns Time for which a node that lags behind another one waits before it asks.
-std::chrono::milliseconds wait_before_asking(bool _reads);
+std::chrono::milliseconds catch_up_delay(bool _reads);
 
 /// @param[in] _tries Number of requests for the configuration that failed, in a row; not negative.
 /// @returns Time for which a node whose configuration is older than another node's waits before it asks.
-std::chrono::milliseconds wait_before_asking_routes(bool _reads, int _tries);
+std::chrono::milliseconds config_catch_up_delay(bool _reads, int _tries);
 
 /// @param[in] _live The other live nodes, in the order of their names.
 /// @returns The node to ask for the changes after this node's revision; null when none has any.
@@ -68,6 +68,6 @@
 
 /// @param[in] _config_version Version of this node's configuration; 0: none.
 /// @returns The node to ask for a newer configuration; null when none has any.
-const node_heartbeat* choose_peer_for_routes(const node_heartbeat& _self, std::uint64_t _config_version,
+const node_heartbeat* choose_config_peer(const node_heartbeat& _self, std::uint64_t _config_version,
     const std::vector<const node_heartbeat*>& _live);
 } // namespace larkrack
--- a/src/steering/store_start.cpp
+++ b/src/steering/store_start.cpp
@@ -11,7 +11,7 @@
 {
 /// Number of nodes of a failure domain that register. More: more calls. Fewer: a failure domain is not found
 /// while one of these nodes is being replaced. Not measured.
-constexpr std::size_t k_registered_of_domain = 2;
+constexpr std::size_t k_registered_per_domain = 2;
 } // namespace
 
 bool registers(const node_heartbeat& _self, const std::vector<const node_heartbeat*>& _live)
@@ -23,7 +23,7 @@
 		const bool may_register = node->domain == _self.domain && node_state::stopping != node->state;
 		rank += may_register && rendezvous_weight(node->node.text, 0) > own ? 1 : 0;
 	}
-	return rank < k_registered_of_domain;
+	return rank < k_registered_per_domain;
 }
 
 } // namespace larkrack
--- a/src/steering/store_start_p.h
+++ b/src/steering/store_start_p.h
@@ -8,10 +8,12 @@
 /// Inputs: time since the start; heartbeats of this node and of the live nodes.
 ///
 /// Algorithm:
-/// - A node ranks itself among the readers only after k_rank_wait, when it has received heartbeats of the
+/// - A node ranks itself among the readers only after k_reader_rank_delay, when it has received heartbeats of
+/// the
 ///   others: before that, each node would rank first and open a watch.
-/// - A registration helps only nodes that cannot reach a seed. So only the first k_registered_of_domain nodes
-///   of a failure domain by rendezvous hashing register, and no node does within k_register_wait of its
+/// - A registration helps only nodes that cannot reach a seed. So only the first k_registered_per_domain
+/// nodes
+///   of a failure domain by rendezvous hashing register, and no node does within k_registration_delay of its
 ///   start.
 ///
 /// Pattern: a start of all nodes at once. Growth: registrations grow with the number of failure domains, not
@@ -29,12 +31,12 @@
 /// starting fleet gets changes later. Shorter: nodes that have not received heartbeats of the others yet open
 /// a watch each, one call in each 2.5 s. A round trip between regions, the spread of a common start (0.3 s)
 /// and a heartbeat fit into this time.
-constexpr std::chrono::milliseconds k_rank_wait{800};
+constexpr std::chrono::milliseconds k_reader_rank_delay{800};
 /// Milliseconds after its start from which on a node may register. Longer: nodes that reach no seed are found
 /// later. Shorter: nodes register that will not rank among the first. Not measured.
-constexpr std::chrono::milliseconds k_register_wait{2000};
+constexpr std::chrono::milliseconds k_registration_delay{2000};
 /// Interval in milliseconds at which a node checks whether it has to register. Not measured.
-constexpr std::chrono::milliseconds k_register_check{1000};
+constexpr std::chrono::milliseconds k_registration_check_interval{1000};
 
 /// @param[in] _live The other live nodes, of all failure domains.
 /// @returns Whether this node has to keep itself registered in the store.
--- a/tests/entry_fixture.h
+++ b/tests/entry_fixture.h
@@ -101,7 +101,7 @@
 	{
 		given_back.push_back(_customer.name.text);
 	}
-	double seconds_to_come_back(const customer&) const override
+	double quota_retry_delay_s(const customer&) const override
 	{
 		return quota_retry_after_s;
 	}
@@ -410,7 +410,7 @@
 		shared_bounds bounds;
 		bounds.max_shift = 0.15;
 		bounds.retries = {
-		    0.2 / k_retry_used_part, 50.0 / k_retry_used_part, std::chrono::milliseconds(10000)};
+		    0.2 / k_retry_used_fraction, 50.0 / k_retry_used_fraction, std::chrono::milliseconds(10000)};
 		m_forwarder = std::make_unique<forwarder>(*m_context, m_clock, header_names(),
 		    placement{"n1", "east-a", "east"}, bounds, *m_registry, m_fleet, m_quotas, m_rollouts, m_limits,
 		    m_crashes, *m_log, m_metrics);
--- a/tests/quota_model_test.cpp
+++ b/tests/quota_model_test.cpp
@@ -57,7 +57,7 @@
 	void give_back(const customer&) override
 	{
 	}
-	double seconds_to_come_back(const customer&) const override
+	double quota_retry_delay_s(const customer&) const override
 	{
 		return 1.0;
 	}
--- a/tests/resting_requests_test.cpp
+++ b/tests/resting_requests_test.cpp
@@ -85,7 +85,7 @@
 		CPPUNIT_ASSERT(m_clock.steady() - began < ms(40)); // Below the longest wait for a slot.
 		CPPUNIT_ASSERT_EQUAL(503U, answer.result_int());
 		const double back_s = std::stod(std::string(answer[http::field::retry_after]));
-		CPPUNIT_ASSERT(back_s > 2.9 && back_s < 3.0 + k_retry_after_last_s);
+		CPPUNIT_ASSERT(back_s > 2.9 && back_s < 3.0 + k_retry_after_max_s);
 		CPPUNIT_ASSERT_EQUAL(before, one.requests.size() + m_backends[1]->requests.size());
 	}
 
--- a/tests/steering_attempt_rules_test.cpp
+++ b/tests/steering_attempt_rules_test.cpp
@@ -175,8 +175,7 @@
 
 	void timeout_above_the_maximum_is_cut()
 	{
-		CPPUNIT_ASSERT(
-		    k_longest_stated_timeout == request_timeout("999999999999", std::chrono::milliseconds(0)));
+		CPPUNIT_ASSERT(k_max_stated_timeout == request_timeout("999999999999", std::chrono::milliseconds(0)));
 	}
 
 	void retry_after_lies_between_its_bounds()
@@ -185,7 +184,7 @@
 		for (int i = 0; i < 1000; ++i)
 		{
 			const double after_s = retry_after_s(random);
-			CPPUNIT_ASSERT(after_s >= k_retry_after_first_s && after_s <= k_retry_after_last_s);
+			CPPUNIT_ASSERT(after_s >= k_retry_after_min_s && after_s <= k_retry_after_max_s);
 		}
 	}
 };
--- a/tests/steering_backend_rest_test.cpp
+++ b/tests/steering_backend_rest_test.cpp
@@ -123,10 +123,10 @@
 
 	void retry_time_of_a_caller_is_after_the_first_rest()
 	{
-		CPPUNIT_ASSERT(retry_after_rest_s(3.0, k_retry_after_first_s) >= 3.0);
-		CPPUNIT_ASSERT(retry_after_rest_s(3.0, k_retry_after_last_s) > 3.0); // Includes jitter.
-		CPPUNIT_ASSERT(retry_after_rest_s(3.0, k_retry_after_last_s) <= 3.0 + k_retry_after_last_s);
-		CPPUNIT_ASSERT(retry_after_rest_s(-1.0, k_retry_after_first_s) >= k_retry_after_first_s);
+		CPPUNIT_ASSERT(retry_after_rest_s(3.0, k_retry_after_min_s) >= 3.0);
+		CPPUNIT_ASSERT(retry_after_rest_s(3.0, k_retry_after_max_s) > 3.0); // Includes jitter.
+		CPPUNIT_ASSERT(retry_after_rest_s(3.0, k_retry_after_max_s) <= 3.0 + k_retry_after_max_s);
+		CPPUNIT_ASSERT(retry_after_rest_s(-1.0, k_retry_after_min_s) >= k_retry_after_min_s);
 	}
 };
 
--- a/tests/steering_crash_test.cpp
+++ b/tests/steering_crash_test.cpp
@@ -249,12 +249,12 @@
 
 	void request_counts_as_recently_served_for_a_moment()
 	{
-		served_lately served;
+		recently_served served;
 		CPPUNIT_ASSERT(!served.has(0, k_begin));
 		served.note(5, k_begin);
-		CPPUNIT_ASSERT(served.has(5, k_begin + k_served_lately));
-		CPPUNIT_ASSERT(!served.has(5, k_begin + k_served_lately + std::chrono::milliseconds(1)));
-		CPPUNIT_ASSERT(!served.has(5 + k_served_places, k_begin));
+		CPPUNIT_ASSERT(served.has(5, k_begin + k_recently_served_time));
+		CPPUNIT_ASSERT(!served.has(5, k_begin + k_recently_served_time + std::chrono::milliseconds(1)));
+		CPPUNIT_ASSERT(!served.has(5 + k_recently_served_entries, k_begin));
 	}
 };
 
--- a/tests/steering_nodes_test.cpp
+++ b/tests/steering_nodes_test.cpp
@@ -510,16 +510,16 @@
 		node_heartbeat& self = add("n0");
 		self.store_revision = 9;
 		self.config_version = 6;
-		CPPUNIT_ASSERT_EQUAL(std::string("n1"), choose_peer_for_routes(self, 6, all_but("n0"))->node.text);
-		CPPUNIT_ASSERT(nullptr == choose_peer_for_routes(self, 7, all_but("n0")));
+		CPPUNIT_ASSERT_EQUAL(std::string("n1"), choose_config_peer(self, 6, all_but("n0"))->node.text);
+		CPPUNIT_ASSERT(nullptr == choose_config_peer(self, 7, all_but("n0")));
 		CPPUNIT_ASSERT(nullptr == choose_peer(self, 9, all_but("n0")));
 	}
 
 	void wait_for_an_unavailable_configuration_grows()
 	{
-		CPPUNIT_ASSERT(std::chrono::milliseconds(60) == wait_before_asking_routes(false, 0));
-		CPPUNIT_ASSERT(std::chrono::milliseconds(120) == wait_before_asking_routes(false, 1));
-		CPPUNIT_ASSERT(std::chrono::milliseconds(960) == wait_before_asking_routes(false, 1000));
+		CPPUNIT_ASSERT(std::chrono::milliseconds(60) == config_catch_up_delay(false, 0));
+		CPPUNIT_ASSERT(std::chrono::milliseconds(120) == config_catch_up_delay(false, 1));
+		CPPUNIT_ASSERT(std::chrono::milliseconds(960) == config_catch_up_delay(false, 1000));
 	}
 
 	void peer_changes_with_the_heartbeats()
@@ -540,14 +540,14 @@
 
 	void wait_of_a_reader_is_longer()
 	{
-		CPPUNIT_ASSERT(std::chrono::milliseconds(60) == wait_before_asking(false));
-		CPPUNIT_ASSERT(std::chrono::milliseconds(400) == wait_before_asking(true));
+		CPPUNIT_ASSERT(std::chrono::milliseconds(60) == catch_up_delay(false));
+		CPPUNIT_ASSERT(std::chrono::milliseconds(400) == catch_up_delay(true));
 	}
 
 	void changes_are_sent_only_if_some_nodes_do_not_read()
 	{
-		CPPUNIT_ASSERT(all_read(2));
-		CPPUNIT_ASSERT(!all_read(3));
+		CPPUNIT_ASSERT(all_nodes_read(2));
+		CPPUNIT_ASSERT(!all_nodes_read(3));
 	}
 };
 
@@ -567,12 +567,12 @@
 protected:
 	void census_keeps_the_maximum_number_of_nodes()
 	{
-		node_census census;
+		node_count_maximum census;
 		CPPUNIT_ASSERT_DOUBLES_EQUAL(1.0, census.sharers().nodes, 1e-9);
-		census.on_seen(9, 3);
-		census.on_seen(2, 1);
+		census.on_nodes_counted(9, 3);
+		census.on_nodes_counted(2, 1);
 		CPPUNIT_ASSERT_DOUBLES_EQUAL(9.0, census.sharers().nodes, 1e-9);
-		CPPUNIT_ASSERT_EQUAL(std::size_t(3), census.most_in_region());
+		CPPUNIT_ASSERT_EQUAL(std::size_t(3), census.max_in_region());
 	}
 
 	void connections_are_divided_and_at_least_one()
@@ -646,11 +646,11 @@
 		rates.add(node_name("n2"), sender("n4", "west", 5.0));
 		CPPUNIT_ASSERT_DOUBLES_EQUAL(20.0, rates.demand_of(shop).at(east), 1e-9);
 		CPPUNIT_ASSERT_DOUBLES_EQUAL(5.0, rates.demand_of(shop).at(region_name("west")), 1e-9);
-		CPPUNIT_ASSERT_DOUBLES_EQUAL(25.0, rates.sent_of(shop, east).all_per_s, 1e-9);
-		CPPUNIT_ASSERT_DOUBLES_EQUAL(10.0, rates.sent_of(shop, east).before_per_s, 1e-9); // n1 only.
+		CPPUNIT_ASSERT_DOUBLES_EQUAL(25.0, rates.sent_of(shop, east).total_per_s, 1e-9);
+		CPPUNIT_ASSERT_DOUBLES_EQUAL(10.0, rates.sent_of(shop, east).preceding_per_s, 1e-9); // n1 only.
 		CPPUNIT_ASSERT_DOUBLES_EQUAL(2.5, rates.single_region_demand_of(shop).at(east), 1e-9);
 		CPPUNIT_ASSERT(rates.demand_of(service_name("other")).empty());
-		CPPUNIT_ASSERT_DOUBLES_EQUAL(0.0, rates.sent_of(shop, region_name("north")).all_per_s, 1e-9);
+		CPPUNIT_ASSERT_DOUBLES_EQUAL(0.0, rates.sent_of(shop, region_name("north")).total_per_s, 1e-9);
 		rates.clear();
 		CPPUNIT_ASSERT(rates.demand_of(shop).empty() && rates.single_region_demand_of(shop).empty());
 	}
@@ -665,7 +665,7 @@
 		one.node = node_name(_name);
 		one.region = region_name(_region);
 		one.requests_per_s = {{shop, _per_s}};
-		one.sent_per_s = {{shop, {{east, _per_s}}}, {bound_part_of(shop), {{east, _per_s / 10.0}}}};
+		one.sent_per_s = {{shop, {{east, _per_s}}}, {pinned_requests_of(shop), {{east, _per_s / 10.0}}}};
 		return one;
 	}
 
--- a/tests/steering_quota_test.cpp
+++ b/tests/steering_quota_test.cpp
@@ -137,7 +137,7 @@
 		lend(m_shop, 400);
 		const quota_grant many = m_lender.lend(m_shop, borrow_request(m_shop, 5), m_now);
 		CPPUNIT_ASSERT(many.wait >= ms(4000));
-		CPPUNIT_ASSERT(!sends_back(few) && !sends_back(many));
+		CPPUNIT_ASSERT(!is_redirect(few) && !is_redirect(many));
 	}
 
 	void lender_with_a_lowered_limit_lends_by_the_new_limit()
@@ -152,11 +152,11 @@
 	void bucket_without_borrow_requests_is_removed()
 	{
 		lend(m_shop, 1);
-		m_now += k_bucket_kept;
-		m_lender.forget_idle(m_now);
+		m_now += k_bucket_idle_timeout;
+		m_lender.evict_idle(m_now);
 		CPPUNIT_ASSERT_EQUAL(std::size_t{1}, m_lender.size());
 		m_now += ms(1);
-		m_lender.forget_idle(m_now);
+		m_lender.evict_idle(m_now);
 		CPPUNIT_ASSERT_EQUAL(std::size_t{0}, m_lender.size());
 	}
 };
@@ -205,7 +205,7 @@
 		CPPUNIT_ASSERT(request && 1 == request->wanted && lender_rank::first == request->rank);
 		CPPUNIT_ASSERT(!due()); // One borrow request at a time.
 		grant(1);
-		CPPUNIT_ASSERT(quota_answer::granted == m_borrower.take_again(m_shop, k_shop_lenders, m_now));
+		CPPUNIT_ASSERT(quota_answer::granted == m_borrower.retry_take(m_shop, k_shop_lenders, m_now));
 		CPPUNIT_ASSERT(!due(0)); // The rate of a single request is too low to borrow ahead.
 	}
 
@@ -228,7 +228,7 @@
 		take();
 		due();
 		grant(2);
-		m_now += k_token_life;
+		m_now += k_token_lifetime;
 		CPPUNIT_ASSERT(quota_answer::waits == take());
 	}
 
@@ -249,9 +249,9 @@
 		due();
 		grant(0, ms(3000));
 		CPPUNIT_ASSERT(quota_answer::over == take());
-		CPPUNIT_ASSERT(quota_answer::over == m_borrower.take_again(m_shop, k_shop_lenders, m_now));
+		CPPUNIT_ASSERT(quota_answer::over == m_borrower.retry_take(m_shop, k_shop_lenders, m_now));
 		CPPUNIT_ASSERT(!due());
-		m_now += k_longest_pause;
+		m_now += k_max_borrow_pause;
 		CPPUNIT_ASSERT(quota_answer::waits == take());
 		CPPUNIT_ASSERT(due());
 		CPPUNIT_ASSERT(
@@ -273,9 +273,9 @@
 	{
 		take();
 		due();
-		for (ms passed{0}; passed < k_lender_silent; passed += k_answer_time)
+		for (ms passed{0}; passed < k_lender_unresponsive_after; passed += k_lender_response_timeout)
 		{
-			m_now += k_answer_time;
+			m_now += k_lender_response_timeout;
 			due();
 		}
 	}
@@ -283,14 +283,14 @@
 	void lender_without_answers_is_skipped_for_all_customers()
 	{
 		let_the_first_lender_time_out();
-		CPPUNIT_ASSERT(m_borrower.is_silent(1, m_now));
+		CPPUNIT_ASSERT(m_borrower.is_unresponsive(1, m_now));
 		customer mill = limited(10.0, 10.0);
 		mill.id = 7;
 		m_borrower.take(mill, k_nodes, m_now);
 		const auto request = m_borrower.due(mill, k_shop_lenders, 1, m_now);
 		CPPUNIT_ASSERT(request && lender_rank::backup == request->rank);
-		m_now += k_passed_over;
-		CPPUNIT_ASSERT(!m_borrower.is_silent(1, m_now));
+		m_now += k_lender_skip_time;
+		CPPUNIT_ASSERT(!m_borrower.is_unresponsive(1, m_now));
 	}
 
 	void lender_with_late_answers_is_not_skipped()
@@ -299,18 +299,18 @@
 		{
 			take();
 			due();
-			m_now += k_answer_time;
+			m_now += k_lender_response_timeout;
 			CPPUNIT_ASSERT(due()); // A further borrow request is sent,
 			grant(1);              // and answered late.
-			CPPUNIT_ASSERT(!m_borrower.is_silent(1, m_now));
+			CPPUNIT_ASSERT(!m_borrower.is_unresponsive(1, m_now));
 		}
 	}
 
 	void lender_after_a_redirect_is_asked_again()
 	{
 		let_the_first_lender_time_out();
-		CPPUNIT_ASSERT(m_borrower.is_silent(1, m_now));
-		m_borrower.on_sent_back({m_shop.id, 0, k_sent_back}, 1);
+		CPPUNIT_ASSERT(m_borrower.is_unresponsive(1, m_now));
+		m_borrower.on_redirect({m_shop.id, 0, k_redirect_wait}, 1);
 		const auto request = due();
 		CPPUNIT_ASSERT(request && lender_rank::first == request->rank);
 	}
@@ -336,20 +336,20 @@
 
 	void retry_time_of_refused_grows_with_the_overload()
 	{
-		CPPUNIT_ASSERT_EQUAL(0.5, m_borrower.seconds_to_come_back(m_shop));
+		CPPUNIT_ASSERT_EQUAL(0.5, m_borrower.quota_retry_delay_s(m_shop));
 		for (int i = 0; i < 100; ++i)
 		{
 			take();
 			m_now += ms(1);
 		}
-		CPPUNIT_ASSERT_EQUAL(4.0, m_borrower.seconds_to_come_back(m_shop));
+		CPPUNIT_ASSERT_EQUAL(4.0, m_borrower.quota_retry_delay_s(m_shop));
 	}
 
 	void account_without_requests_is_removed()
 	{
 		take();
-		m_now += k_account_kept + ms(1);
-		m_borrower.forget_idle(m_now);
+		m_now += k_account_idle_timeout + ms(1);
+		m_borrower.evict_idle(m_now);
 		CPPUNIT_ASSERT_EQUAL(std::size_t{0}, m_borrower.size());
 	}
 };
--- a/tests/steering_region_choice_test.cpp
+++ b/tests/steering_region_choice_test.cpp
@@ -133,13 +133,13 @@
 
 	void overflow_from_a_region_outside_the_home_regions_takes_no_token()
 	{
-		CPPUNIT_ASSERT(leaves_freely(m_east, {"west"}) && leaves_freely(region_name(), {}));
-		CPPUNIT_ASSERT(!leaves_freely(m_east, {}) && !leaves_freely(m_east, {"west", "east"}));
+		CPPUNIT_ASSERT(must_leave(m_east, {"west"}) && must_leave(region_name(), {}));
+		CPPUNIT_ASSERT(!must_leave(m_east, {}) && !must_leave(m_east, {"west", "east"}));
 		overflow_bucket bucket;
 		for (int i = 0; i < 10; ++i)
 		{
-			CPPUNIT_ASSERT(departure::no_choice == bucket.may_leave(m_east, {"west"}, 100.0, m_now));
-			CPPUNIT_ASSERT(departure::no_choice == bucket.may_leave(region_name(), {}, 100.0, m_now));
+			CPPUNIT_ASSERT(overflow_decision::no_choice == bucket.may_leave(m_east, {"west"}, 100.0, m_now));
+			CPPUNIT_ASSERT(overflow_decision::no_choice == bucket.may_leave(region_name(), {}, 100.0, m_now));
 		}
 	}
 
@@ -149,7 +149,8 @@
 		int overflowed = 0;
 		for (const steady_time end = m_now + _time; m_now < end; m_now += std::chrono::milliseconds(10))
 		{
-			overflowed += departure::overflow == bucket.may_leave(m_east, {"east"}, _per_s, m_now) ? 1 : 0;
+			overflowed +=
+			    overflow_decision::overflow == bucket.may_leave(m_east, {"east"}, _per_s, m_now) ? 1 : 0;
 		}
 		return overflowed;
 	}
--- a/tests/steering_retry_budget_test.cpp
+++ b/tests/steering_retry_budget_test.cpp
@@ -24,7 +24,7 @@
 	void budget_in_any_window_stays_within_ratio_and_slack()
 	{
 		retry_budget budget(
-		    {0.2 / k_retry_used_part, 5.0 / k_retry_used_part, std::chrono::milliseconds(10000)});
+		    {0.2 / k_retry_used_fraction, 5.0 / k_retry_used_fraction, std::chrono::milliseconds(10000)});
 		budget.set_nodes(1.0);
 		steady_time now{std::chrono::hours(1)};
 		std::vector<std::pair<steady_time, bool>> history;
@@ -75,7 +75,7 @@
 	void budget_slack_is_divided_by_the_nodes()
 	{
 		const steady_time now{std::chrono::hours(1)};
-		const retry_limits limits{0.0, 40.0 / k_retry_used_part, std::chrono::milliseconds(10000)};
+		const retry_limits limits{0.0, 40.0 / k_retry_used_fraction, std::chrono::milliseconds(10000)};
 		retry_budget unset(limits);
 		CPPUNIT_ASSERT_EQUAL(0, granted(unset, now));
 		retry_budget alone(limits);
@@ -89,7 +89,7 @@
 	void budget_drops_first_attempts_after_their_window()
 	{
 		steady_time now{std::chrono::hours(1)};
-		retry_budget budget({0.2 / k_retry_used_part, 0.0, std::chrono::milliseconds(10000)});
+		retry_budget budget({0.2 / k_retry_used_fraction, 0.0, std::chrono::milliseconds(10000)});
 		for (int i = 0; i < 50; ++i)
 		{
 			budget.earn(now);
--- a/tests/steering_rollout_test.cpp
+++ b/tests/steering_rollout_test.cpp
@@ -272,7 +272,7 @@
 		{
 			++evidence_of(evidence, "r" + std::to_string(i)).target.ended;
 		}
-		CPPUNIT_ASSERT_EQUAL(k_told_routes + 1, evidence.size());
+		CPPUNIT_ASSERT_EQUAL(k_max_separate_routes + 1, evidence.size());
 		CPPUNIT_ASSERT_EQUAL(std::uint32_t(22), evidence.at("").target.ended);
 		CPPUNIT_ASSERT_EQUAL(std::uint32_t(1), evidence.at("r3").target.ended);
 	}
@@ -331,7 +331,7 @@
 			if (decider_rank::backup == rank)
 			{
 				expect_none(view);
-				view.found_bad = ms(1000);
+				view.bad_for = ms(1000);
 			}
 			expect_step(view, rollout_state::rolled_back);
 		}
@@ -361,7 +361,7 @@
 			view.written = state;
 			expect_none(view);
 			view.verdict = {verdict_reason::failures, ""};
-			view.found_bad = ms(5000);
+			view.bad_for = ms(5000);
 			expect_none(view);
 		}
 	}
--- a/tests/steering_service_test.cpp
+++ b/tests/steering_service_test.cpp
@@ -101,8 +101,8 @@
 
 	void wait_is_a_tenth_of_the_objective()
 	{
-		CPPUNIT_ASSERT(std::chrono::milliseconds(40) == longest_wait(std::chrono::milliseconds(400)));
-		CPPUNIT_ASSERT(k_wait_default == longest_wait(std::chrono::milliseconds(0)));
+		CPPUNIT_ASSERT(std::chrono::milliseconds(40) == max_slot_wait(std::chrono::milliseconds(400)));
+		CPPUNIT_ASSERT(k_default_wait == max_slot_wait(std::chrono::milliseconds(0)));
 	}
 
 	void queue_orders_by_priority_then_by_arrival()
@@ -192,8 +192,8 @@
 		m_servers[1].cold_until = m_now + std::chrono::seconds(1);
 		eject(2);
 		m_servers[3].region = region_name();
-		const figures_by_region figures =
-		    figures_of(m_east, m_backends, {{{m_east, 30.0}, {m_west, 60.0}}, 0.5, 0.0}, m_now);
+		const load_by_region figures =
+		    region_loads(m_east, m_backends, {{{m_east, 30.0}, {m_west, 60.0}}, 0.5, 0.0}, m_now);
 		CPPUNIT_ASSERT_DOUBLES_EQUAL(7.0, capacity_of(figures, m_east), 1e-9);
 		CPPUNIT_ASSERT_DOUBLES_EQUAL(35.0, capacity_of(figures, m_west), 1e-9);
 		CPPUNIT_ASSERT_DOUBLES_EQUAL(15.0, figures.at(m_east).demand, 1e-9);
@@ -203,8 +203,9 @@
 	void capacity_excludes_slots_of_requests_pinned_to_a_region()
 	{
 		demand_rates rates{{{m_east, 30.0}}, 0.5, 0.0, {{m_west, 40.0}, {m_east, 1000.0}}};
-		const figures_by_region figures = figures_of(m_east, m_backends, rates, m_now);
-		CPPUNIT_ASSERT_DOUBLES_EQUAL(k_planned_part * 50.0 - 20.0, figures.at(m_west).capacity, 1e-9);
+		const load_by_region figures = region_loads(m_east, m_backends, rates, m_now);
+		CPPUNIT_ASSERT_DOUBLES_EQUAL(
+		    k_planned_slot_fraction * 50.0 - 20.0, figures.at(m_west).capacity, 1e-9);
 		CPPUNIT_ASSERT_DOUBLES_EQUAL(0.0, figures.at(m_east).capacity, 1e-9);
 		CPPUNIT_ASSERT_DOUBLES_EQUAL(15.0, figures.at(m_east).demand, 1e-9);
 	}
@@ -218,7 +219,7 @@
 		{
 			for (int request = 0; request < 6; ++request)
 			{
-				steering.count_bound(m_east);
+				steering.count_pinned(m_east);
 				steering.demand.count_arrival();
 			}
 			steering.tick(0.1);
@@ -228,19 +229,19 @@
 		// 60 requests of each kind per second, 0.4 s each: 24 of the 35 planned slots are pinned, 11 are left
 		// for 24.
 		CPPUNIT_ASSERT_DOUBLES_EQUAL(11.0 / 24.0, steering.shares.by_demand.share_of(m_east), 0.05);
-		CPPUNIT_ASSERT_DOUBLES_EQUAL(60.0, steering.bound_per_s().at(m_east), 2.0);
+		CPPUNIT_ASSERT_DOUBLES_EQUAL(60.0, steering.pinned_per_s().at(m_east), 2.0);
 	}
 
 	void demand_without_measurements_is_equal_in_all_regions()
 	{
-		const figures_by_region figures = figures_of(m_east, m_backends, {{{m_east, 0.0}}, 0.4, 1.0}, m_now);
+		const load_by_region figures = region_loads(m_east, m_backends, {{{m_east, 0.0}}, 0.4, 1.0}, m_now);
 		CPPUNIT_ASSERT_DOUBLES_EQUAL(28.0, figures.at(m_east).demand, 1e-9);
 		CPPUNIT_ASSERT_DOUBLES_EQUAL(28.0, figures.at(m_west).demand, 1e-9);
 	}
 
 	void plan_after_loss_of_a_third_of_the_slots_is_immediate()
 	{
-		const figures_by_region figures{{m_east, {10.0, 60.0}}, {m_west, {10.0, 60.0}}};
+		const load_by_region figures{{m_east, {10.0, 60.0}}, {m_west, {10.0, 60.0}}};
 		CPPUNIT_ASSERT(!plan_by_demand(m_east, figures, 80.0).immediate);
 		CPPUNIT_ASSERT(plan_by_demand(m_east, figures, 90.0).immediate);
 	}
@@ -252,11 +253,11 @@
 		const share_by_region all_at_home{{m_east, 1.0}, {m_west, 0.0}};
 		region_plan plan = plan_of_keys(all_at_home);
 		CPPUNIT_ASSERT(!plan.immediate);
-		CPPUNIT_ASSERT_DOUBLES_EQUAL(k_planned_part * 30.0 / 34.0, plan.shares.at(m_east), 1e-9);
+		CPPUNIT_ASSERT_DOUBLES_EQUAL(k_planned_slot_fraction * 30.0 / 34.0, plan.shares.at(m_east), 1e-9);
 		eject(2);
 		plan = plan_of_keys(all_at_home);
 		CPPUNIT_ASSERT(plan.immediate);
-		CPPUNIT_ASSERT_DOUBLES_EQUAL(k_planned_part * 20.0 / 34.0, plan.shares.at(m_east), 1e-9);
+		CPPUNIT_ASSERT_DOUBLES_EQUAL(k_planned_slot_fraction * 20.0 / 34.0, plan.shares.at(m_east), 1e-9);
 	}
 
 	void plan_for_keys_ignores_the_failure_of_a_region_without_share()
@@ -270,7 +271,7 @@
 	/// Plans for callers in the east with a demand of 34 slots, and none in the west.
 	region_plan plan_of_keys(const share_by_region& _in_force)
 	{
-		const figures_by_region figures = figures_of(m_east, m_backends, {{{m_east, 68.0}}, 0.5, 0.0}, m_now);
+		const load_by_region figures = region_loads(m_east, m_backends, {{{m_east, 68.0}}, 0.5, 0.0}, m_now);
 		return plan_for_keys(m_east, figures, _in_force, m_backends, m_now);
 	}
 
@@ -350,9 +351,9 @@
 
 	void plan_interval_is_longer_only_in_fleets_of_thousands()
 	{
-		CPPUNIT_ASSERT(plan_pause(60) < std::chrono::milliseconds(100));   // A tick of a small fleet.
-		CPPUNIT_ASSERT(plan_pause(1356) < std::chrono::milliseconds(250)); // A tick of a large one.
-		CPPUNIT_ASSERT(std::chrono::milliseconds(1000) == plan_pause(10000));
+		CPPUNIT_ASSERT(min_plan_interval(60) < std::chrono::milliseconds(100));   // A tick of a small fleet.
+		CPPUNIT_ASSERT(min_plan_interval(1356) < std::chrono::milliseconds(250)); // A tick of a large one.
+		CPPUNIT_ASSERT(std::chrono::milliseconds(1000) == min_plan_interval(10000));
 	}
 
 	void update_returns_only_changes_of_five_percent()
--- a/tests/steering_state_copy_test.cpp
+++ b/tests/steering_state_copy_test.cpp
@@ -83,7 +83,7 @@
 		bool awaits_page = false;
 		bool reads_store = false;
 		steady_time last_page{};
-		page_limit page_rate;
+		page_rate_limit page_rate;
 	};
 
 	bool is_known_source(const node& _sender, const node& _receiver) const
@@ -107,9 +107,9 @@
 		{
 			if (is_known_source(other, _node))
 			{
-				view.anyone_knows = true;
-				view.domain_knows = view.domain_knows || other.domain == _node.domain;
-				view.region_knows = view.region_knows || same_region(other, _node);
+				view.anyone_has_keys = true;
+				view.domain_has_keys = view.domain_has_keys || other.domain == _node.domain;
+				view.region_has_keys = view.region_has_keys || same_region(other, _node);
 			}
 			else if (other.domain == _node.domain)
 			{
@@ -142,7 +142,7 @@
 			return;
 		}
 		const copy_view view = view_of(_node);
-		_node.last_page = view.anyone_knows ? _node.last_page : m_now;
+		_node.last_page = view.anyone_has_keys ? _node.last_page : m_now;
 		const copy_step next = plan_copy(view);
 		if (copy_step::wait == next)
 		{
@@ -173,13 +173,13 @@
 			}
 		}
 		node& sender = *senders[rendezvous_weight("draw", ++m_draws) % senders.size()];
-		_node.waits_until = m_now + k_copy_pause;
-		if (!sender.page_rate.may_give(m_now))
+		_node.waits_until = m_now + k_copy_retry_pause;
+		if (!sender.page_rate.may_send_page(m_now))
 		{
 			_node.last_page = m_now; // The sender is busy sending pages to others.
 			return;
 		}
-		sender.page_rate.on_given(k_compressed_page_bytes, m_now);
+		sender.page_rate.on_page_sent(k_compressed_page_bytes, m_now);
 		const ms sending(static_cast<int>(1000.0 * k_compressed_page_bytes / k_link_bytes_per_s));
 		_node.waits_until = m_now + sending + (same_region(sender, _node) ? ms(1) : k_far_round_trip);
 		_node.awaits_page = true;
@@ -228,16 +228,16 @@
 	void keys_in_the_failure_domain_are_requested_at_once()
 	{
 		copy_view view = view_at(ms(10), 50);
-		view.anyone_knows = view.region_knows = view.domain_knows = true;
+		view.anyone_has_keys = view.region_has_keys = view.domain_has_keys = true;
 		CPPUNIT_ASSERT(copy_step::from_domain == plan_copy(view));
 	}
 
 	void keys_further_away_are_requested_in_turns()
 	{
 		copy_view view = view_at(ms(10));
-		view.anyone_knows = true;
+		view.anyone_has_keys = true;
 		CPPUNIT_ASSERT(copy_step::from_anyone == plan_copy(view));
-		view.region_knows = true;
+		view.region_has_keys = true;
 		CPPUNIT_ASSERT(copy_step::from_region == plan_copy(view));
 		view.rank = 2;
 		CPPUNIT_ASSERT(copy_step::wait == plan_copy(view));
@@ -250,7 +250,7 @@
 	void keys_without_a_page_in_time_are_read_from_the_store()
 	{
 		copy_view view = view_at(ms(599));
-		view.anyone_knows = view.domain_knows = true;
+		view.anyone_has_keys = view.domain_has_keys = true;
 		CPPUNIT_ASSERT(copy_step::from_domain == plan_copy(view));
 		view.passed = view.since_page = ms(600);
 		CPPUNIT_ASSERT(copy_step::from_store == plan_copy(view));
@@ -261,14 +261,14 @@
 
 	void pages_are_sent_at_a_steady_rate()
 	{
-		page_limit limit;
+		page_rate_limit limit;
 		const steady_time begin{std::chrono::seconds(100)};
 		std::size_t bytes = 0;
 		for (int passed = 0; passed < 10000; passed += 10)
 		{
-			if (limit.may_give(begin + ms(passed)))
+			if (limit.may_send_page(begin + ms(passed)))
 			{
-				limit.on_given(40000, begin + ms(passed));
+				limit.on_page_sent(40000, begin + ms(passed));
 				bytes += 40000;
 			}
 		}
--- a/tests/steering_stop_and_pacing_test.cpp
+++ b/tests/steering_stop_and_pacing_test.cpp
@@ -59,7 +59,7 @@
 	{
 		CPPUNIT_ASSERT(!plan(9499, 1, 9000).end);
 		CPPUNIT_ASSERT(plan(9500, 1, 9000).end);
-		CPPUNIT_ASSERT(stop_reason::grace_spent == plan(9500, 1, 9000).reason);
+		CPPUNIT_ASSERT(stop_reason::grace_period_over == plan(9500, 1, 9000).reason);
 	}
 
 	void node_with_recent_requests_keeps_running()
@@ -99,9 +99,9 @@
 
 	void registration_expires_only_by_an_answer_of_the_store()
 	{
-		CPPUNIT_ASSERT(registration_lapsed(true, std::chrono::seconds(0)));
-		CPPUNIT_ASSERT(!registration_lapsed(true, std::chrono::seconds(30)));
-		CPPUNIT_ASSERT(!registration_lapsed(false, std::chrono::seconds(0)));
+		CPPUNIT_ASSERT(registration_expired(true, std::chrono::seconds(0)));
+		CPPUNIT_ASSERT(!registration_expired(true, std::chrono::seconds(30)));
+		CPPUNIT_ASSERT(!registration_expired(false, std::chrono::seconds(0)));
 	}
 
 	void registration_is_renewed_three_times_in_its_time_to_live()
