--- a/src/entry_node/answer_words.cpp
+++ b/src/entry_node/answer_words.cpp
@@ -56,10 +56,10 @@
 }
 } // namespace
 
-answer_words parse_backend_report(
+backend_report parse_backend_report(
     const message_header& _head, const header_names& _names, bool _ran, steady_time _now)
 {
-	answer_words report;
+	backend_report report;
 	if (http::status::misdirected_request == _head.result())
 	{
 		return report;
--- a/src/entry_node/answer_words_p.h
+++ b/src/entry_node/answer_words_p.h
@@ -28,7 +28,7 @@
 namespace larkrack
 {
 /// Report of a backend server in the headers of one response.
-struct answer_words
+struct backend_report
 {
 	std::optional<backend_load> load;
 	std::optional<limit_report> limit;         ///< The limit from now on, or that there is no limit any more.
@@ -38,6 +38,6 @@
 
 /// @param[in] _head Header of the response; its body need not be complete.
 /// @param[in] _ran Whether the backend server ran the request.
-answer_words parse_backend_report(const boost::beast::http::response_header<>& _head,
+backend_report parse_backend_report(const boost::beast::http::response_header<>& _head,
     const header_names& _names, bool _ran, steady_time _now);
 } // namespace larkrack
--- a/src/entry_node/backend_words.cpp
+++ b/src/entry_node/backend_words.cpp
@@ -12,7 +12,7 @@
 {
 }
 
-void backend_words::on_words(const backend_ptr& _backend, const answer_words& _reports)
+void backend_words::on_backend_report(const backend_ptr& _backend, const backend_report& _reports)
 {
 	if (_reports.limit)
 	{
--- a/src/entry_node/backend_words_p.h
+++ b/src/entry_node/backend_words_p.h
@@ -19,14 +19,14 @@
 namespace larkrack
 {
 /// Processes the reports of backend servers for all requests of a node.
-class backend_words : public answer_listener_base
+class backend_words : public backend_report_listener_base
 {
 public:
 	/// @param[in] _on_rest_end Called when a backend server accepts requests again.
 	backend_words(asio::io_context& _context, const clock_base& _clock, limit_gate_base& _limits,
 	    entry_log& _log, std::function<void()> _on_rest_end);
 
-	void on_words(const backend_ptr& _backend, const answer_words& _reports) override;
+	void on_backend_report(const backend_ptr& _backend, const backend_report& _reports) override;
 	/// @returns Number of backend servers that currently want no requests from this node.
 	std::size_t resting() const
 	{
--- a/src/entry_node/entry_node.cpp
+++ b/src/entry_node/entry_node.cpp
@@ -159,10 +159,10 @@
 {
 	m_replica.set_rollouts(&m_rollouts);
 	m_replica.set_blocks(&m_crashes);
-	m_callers.set_head_check(
+	m_callers.set_header_check(
 	    [this](const caller_request& _request)
 	    {
-		    return m_forwarder.refuse_unread(_request);
+		    return m_forwarder.check_before_body(_request);
 	    });
 }
 
--- a/src/entry_node/entry_node_copies.cpp
+++ b/src/entry_node/entry_node_copies.cpp
@@ -61,7 +61,7 @@
 		}
 		sleep_for(m_context.get_executor(), k_copy_retry_pause, _yield);
 	}
-	m_forwarder.pump();
+	m_forwarder.retry_waiting_requests();
 	send_heartbeat_to(m_fleet.domain_addresses()); // They may fetch pages from this node now.
 }
 
--- a/src/entry_node/entry_node_peers.cpp
+++ b/src/entry_node/entry_node_peers.cpp
@@ -393,6 +393,6 @@
 	                .text("from", _ip)
 	                .number("whole", changes->whole ? 1 : 0)
 	                .number("revision", changes->batch.store_revision));
-	m_forwarder.pump();
+	m_forwarder.retry_waiting_requests();
 }
 } // namespace larkrack
--- a/src/entry_node/forwarded_request_attempts.cpp
+++ b/src/entry_node/forwarded_request_attempts.cpp
@@ -238,7 +238,7 @@
 		log_failed_attempt(*backend, _result.detail);
 	}
 	apply_rule(attempt_rule_for(end_of(_result), m_route->repeat), std::move(_result));
-	m_owner.pump();
+	m_owner.retry_waiting_requests();
 }
 
 void forwarded_request::apply_rule(const attempt_rule& _rule, exchange_result&& _result)
--- a/src/entry_node/forwarder.cpp
+++ b/src/entry_node/forwarder.cpp
@@ -30,7 +30,7 @@
     : m_reports(_context, _clock, _limits, _log,
           [this]
           {
-	          pump();
+	          retry_waiting_requests();
           }),
       m_context{_context, _clock, std::move(_names), region_name(_placement.region),
           domain_name(_placement.domain), _backends, _fleet, _quotas, _rollouts, _limits, _crashes, m_reports,
@@ -51,7 +51,7 @@
 	request->start();
 }
 
-std::optional<http::status> forwarder::refuse_unread(const caller_request& _request)
+std::optional<http::status> forwarder::check_before_body(const caller_request& _request)
 {
 	if (!m_context.routes || m_context.stopping)
 	{
@@ -129,7 +129,7 @@
 			steering.set_own_portion(region, m_context.fleet.portion(name, region));
 		}
 	}
-	pump();
+	retry_waiting_requests();
 }
 
 rate_by_service forwarder::requests_per_s() const
@@ -165,7 +165,7 @@
 	return sent;
 }
 
-void forwarder::pump()
+void forwarder::retry_waiting_requests()
 {
 	for (auto& [name, service] : m_services)
 	{
--- a/src/entry_node/forwarder_p.h
+++ b/src/entry_node/forwarder_p.h
@@ -66,7 +66,7 @@
 	rollout_gate_base& rollouts;
 	limit_gate_base& limits;
 	crash_gate_base& crashes;
-	answer_listener_base& reports;
+	backend_report_listener_base& reports;
 	entry_log& log;
 	metrics& exported_metrics;
 	std::minstd_rand random;
@@ -87,7 +87,7 @@
 	/// @returns State that divides the requests of a route among its services.
 	virtual service_split& split_for(const route& _route) = 0;
 	/// Tries to send queued requests again.
-	virtual void pump() = 0;
+	virtual void retry_waiting_requests() = 0;
 	/// Removes a request that has ended.
 	virtual void remove(const request_ptr& _request) = 0;
 };
@@ -107,7 +107,7 @@
 	/// Checks a request before its body is read. Only the customer's key is checked; all other reasons for a
 	/// refusal are checked once the request was read.
 	/// @returns The status to refuse the request with, or nothing.
-	std::optional<http::status> refuse_unread(const caller_request& _request);
+	std::optional<http::status> check_before_body(const caller_request& _request);
 	/// Applies a configuration to requests that arrive from now on. A version that is not newer than the
 	/// current one is ignored.
 	void set_routes(std::shared_ptr<const routing_table> _routes);
@@ -117,7 +117,7 @@
 		m_context.stopping = true;
 	}
 	/// Tries to send queued requests again; call it when backend servers were added or changed.
-	void pump() override;
+	void retry_waiting_requests() override;
 	/// Updates rates, and at longer intervals the shares of regions; call it at a steady interval.
 	void tick();
 	/// @returns Arriving requests of callers at this node, without retries.
--- a/src/entry_node/http_listener_p.h
+++ b/src/entry_node/http_listener_p.h
@@ -116,7 +116,7 @@
 	http_listener(asio::io_context& _context, request_handler _handler, std::size_t _max_connections);
 
 	/// Sets the check that runs before the body of a request is read.
-	void set_head_check(header_check _check)
+	void set_header_check(header_check _check)
 	{
 		m_header_check = std::move(_check);
 	}
--- a/src/entry_node/upstream.cpp
+++ b/src/entry_node/upstream.cpp
@@ -122,7 +122,7 @@
 }
 
 upstream_exchange::upstream_exchange(asio::io_context& _context, const clock_base& _clock,
-    const header_names& _names, answer_listener_base& _listener, backend_ptr _backend,
+    const header_names& _names, backend_report_listener_base& _listener, backend_ptr _backend,
     upstream_request _request, std::chrono::milliseconds _connect_timeout, handler _handler)
     : m_context(_context), m_clock(_clock), m_names(_names), m_listener(_listener),
       m_backend(std::move(_backend)), m_request(std::move(_request)), m_connect_timeout(_connect_timeout),
@@ -310,7 +310,7 @@
 	{
 		return;
 	}
-	answer_words report =
+	backend_report report =
 	    parse_backend_report(_head, m_names, !has_header(_head, m_names.not_run), m_clock.steady());
 	if (!matches_request(_head) || m_cancelled)
 	{
@@ -322,7 +322,7 @@
 	{
 		apply_load(*report.load);
 	}
-	m_listener.on_words(m_backend, report);
+	m_listener.on_backend_report(m_backend, report);
 }
 
 void upstream_exchange::handle_partial_report()
--- a/src/entry_node/upstream_p.h
+++ b/src/entry_node/upstream_p.h
@@ -82,11 +82,11 @@
 };
 
 /// Receives the reports of backend servers about themselves (answer_words_p.h).
-class answer_listener_base
+class backend_report_listener_base
 {
 public:
-	virtual ~answer_listener_base() = default;
-	virtual void on_words(const backend_ptr& _backend, const answer_words& _report) = 0;
+	virtual ~backend_report_listener_base() = default;
+	virtual void on_backend_report(const backend_ptr& _backend, const backend_report& _report) = 0;
 };
 
 /// Sends one request to one backend server.
@@ -98,7 +98,7 @@
 	/// @param[in] _listener Must outlive the exchange.
 	/// @param[in] _connect_timeout Maximum time to establish a new connection.
 	upstream_exchange(asio::io_context& _context, const clock_base& _clock, const header_names& _names,
-	    answer_listener_base& _listener, backend_ptr _backend, upstream_request _request,
+	    backend_report_listener_base& _listener, backend_ptr _backend, upstream_request _request,
 	    std::chrono::milliseconds _connect_timeout, handler _handler);
 	/// Starts the exchange. The handler is called once, unless the exchange is cancelled before.
 	void start();
@@ -144,7 +144,7 @@
 	asio::io_context& m_context;
 	const clock_base& m_clock;
 	const header_names& m_names;
-	answer_listener_base& m_listener;
+	backend_report_listener_base& m_listener;
 	backend_ptr m_backend;
 	upstream_request m_request;
 	std::chrono::milliseconds m_connect_timeout;
--- a/tests/customer_requests_test.cpp
+++ b/tests/customer_requests_test.cpp
@@ -32,10 +32,10 @@
 	void setUp() override
 	{
 		entry_fixture::setUp();
-		m_listener->set_head_check(
+		m_listener->set_header_check(
 		    [this](const caller_request& _request)
 		    {
-			    return m_forwarder->refuse_unread(_request);
+			    return m_forwarder->check_before_body(_request);
 		    });
 	}
 
@@ -246,7 +246,7 @@
 			    return 1 == m_forwarder->counters().queued;
 		    });
 		set_customers(2, {"k2"});
-		m_forwarder->pump();
+		m_forwarder->retry_waiting_requests();
 		CPPUNIT_ASSERT_EQUAL(401U, third.receive().result_int());
 	}
 
--- a/tests/entry_fixture.h
+++ b/tests/entry_fixture.h
@@ -36,7 +36,7 @@
 };
 
 /// Fleet view of a node without other nodes.
-class fleet_view_alone : public fleet_view_base
+class fleet_view_single_node : public fleet_view_base
 {
 public:
 	sharing sharers() const override
@@ -507,7 +507,7 @@
 
 	std::unique_ptr<asio::io_context> m_context;
 	clock_suspended m_clock;
-	fleet_view_alone m_fleet;
+	fleet_view_single_node m_fleet;
 	scripted_quotas m_quotas;
 	scripted_rollouts m_rollouts;
 	scripted_limits m_limits;
--- a/tests/forwarder_test.cpp
+++ b/tests/forwarder_test.cpp
@@ -314,7 +314,7 @@
 			    return 1 == m_forwarder->counters().queued;
 		    });
 		m_registry->find(backend_id("b1"))->load.in_flight = 0;
-		m_forwarder->pump();
+		m_forwarder->retry_waiting_requests();
 		CPPUNIT_ASSERT_EQUAL(200U, waiting.receive().result_int());
 	}
 
--- a/tests/leaving_requests_test.cpp
+++ b/tests/leaving_requests_test.cpp
@@ -116,7 +116,7 @@
 		    });
 		m_registry->find(backend_id("b1"))->reported_leaving = true;
 		add_backend("b2");
-		m_forwarder->pump();
+		m_forwarder->retry_waiting_requests();
 		CPPUNIT_ASSERT_EQUAL(std::string("fine"), second.receive().body());
 		CPPUNIT_ASSERT_EQUAL(std::size_t(1), leaving.requests.size());
 	}
--- a/tests/node_group_fixture.h
+++ b/tests/node_group_fixture.h
@@ -22,7 +22,7 @@
 }
 
 /// Fleet view in which a node sees all others. The address of a node is its number.
-class full_fleet_view : public fleet_view_alone
+class full_fleet_view : public fleet_view_single_node
 {
 public:
 	explicit full_fleet_view(std::size_t _self) : m_self(_self)
--- a/tests/resting_requests_test.cpp
+++ b/tests/resting_requests_test.cpp
@@ -118,7 +118,7 @@
 			    return 1 == m_forwarder->counters().queued;
 		    });
 		set_pause("b1", ms(3000));
-		m_forwarder->pump();
+		m_forwarder->retry_waiting_requests();
 		CPPUNIT_ASSERT_EQUAL(503U, second.receive().result_int());
 		CPPUNIT_ASSERT_EQUAL(std::size_t(1), backend.requests.size());
 	}
--- a/tests/rollout_model_test.cpp
+++ b/tests/rollout_model_test.cpp
@@ -24,7 +24,7 @@
 constexpr double k_bound = 0.1;
 
 /// Fleet view with the nodes that the model sets.
-class fleet_view_fake : public fleet_view_alone
+class fleet_view_fake : public fleet_view_single_node
 {
 public:
 	responsible_nodes responsible_for(std::uint64_t) const override
