--- a/src/entry_node/answer_words_p.h
+++ b/src/entry_node/answer_words_p.h
@@ -13,7 +13,7 @@
 /// | leaving | any | yes |
 /// | any of them | 421 | no: the response is from another backend server |
 ///
-/// Relies on upstream_exchange to pass only responses that may be trusted this far, and on backend_words to
+/// Relies on upstream_exchange to pass only responses that may be trusted this far, and on backend_reports to
 /// act on the report.
 #pragma once
 
--- a/src/entry_node/backend_limits.cpp
+++ b/src/entry_node/backend_limits.cpp
@@ -129,7 +129,7 @@
 	}
 }
 
-void backend_limits::on_word(backend_server& _backend, const limit_report& _limit)
+void backend_limits::on_limit_report(backend_server& _backend, const limit_report& _limit)
 {
 	if (!apply_limit(_backend, _limit))
 	{
--- a/src/entry_node/backend_limits_p.h
+++ b/src/entry_node/backend_limits_p.h
@@ -28,7 +28,7 @@
 namespace larkrack
 {
 /// Interface by which requests take tokens for limited backend servers and report their limits.
-class limit_gate_base : public limit_tokens_base
+class limit_admission_base : public limit_tokens_base
 {
 public:
 	using handler = token_exchange::handler;
@@ -39,11 +39,11 @@
 	/// Returns the token of a request that was not sent to the backend server.
 	virtual void give_back(const backend_state& _backend) = 0;
 	/// Processes the limit that a backend server reported with a response to this node.
-	virtual void on_word(backend_server& _backend, const limit_report& _limit) = 0;
+	virtual void on_limit_report(backend_server& _backend, const limit_report& _limit) = 0;
 };
 
 /// Limits of backend servers, shared by all nodes.
-class backend_limits : public limit_gate_base, private token_owner_base
+class backend_limits : public limit_admission_base, private token_owner_base
 {
 public:
 	using sender = std::function<void(const std::vector<std::uint8_t>& _bytes, const std::string& _ip)>;
@@ -54,7 +54,7 @@
 	quota_answer take(const backend_state& _backend) override;
 	void wait_for_token(const backend_state& _backend, handler _decided) override;
 	void give_back(const backend_state& _backend) override;
-	void on_word(backend_server& _backend, const limit_report& _limit) override;
+	void on_limit_report(backend_server& _backend, const limit_report& _limit) override;
 	/// Processes a message of another node.
 	void on_message(const limit_message& _message, const std::string& _sender_ip);
 	/// Must be called periodically.
--- a/src/entry_node/backend_registry_p.h
+++ b/src/entry_node/backend_registry_p.h
@@ -96,7 +96,7 @@
 	/// Replaces the numbers of requests that another node has in flight.
 	void set_in_flight_of_node(const node_name& _node, const in_flight_counts& _counts);
 	/// Marks a backend server as in use, when a request is sent to it.
-	void note_sent(backend_server& _backend)
+	void mark_in_use(backend_server& _backend)
 	{
 		m_in_use.insert(&_backend);
 	}
--- a/src/entry_node/backend_words.cpp
+++ b/src/entry_node/backend_words.cpp
@@ -5,18 +5,18 @@
 
 namespace larkrack
 {
-backend_words::backend_words(asio::io_context& _context, const clock_base& _clock, limit_gate_base& _limits,
-    entry_log& _log, std::function<void()> _on_rest_end)
+backend_reports::backend_reports(asio::io_context& _context, const clock_base& _clock,
+    limit_admission_base& _limits, entry_log& _log, std::function<void()> _on_rest_end)
     : m_clock(_clock), m_limits(_limits), m_log(_log), m_on_rest_end(std::move(_on_rest_end)),
       m_timer(_context)
 {
 }
 
-void backend_words::on_backend_report(const backend_ptr& _backend, const backend_report& _reports)
+void backend_reports::on_backend_report(const backend_ptr& _backend, const backend_report& _reports)
 {
 	if (_reports.limit)
 	{
-		m_limits.on_word(*_backend, *_reports.limit);
+		m_limits.on_limit_report(*_backend, *_reports.limit);
 	}
 	if (_reports.rest)
 	{
@@ -28,7 +28,7 @@
 	}
 }
 
-void backend_words::on_rest(const backend_ptr& _backend, steady_time::duration _rest)
+void backend_reports::on_rest(const backend_ptr& _backend, steady_time::duration _rest)
 {
 	++m_rests_asked;
 	const steady_time now = m_clock.steady();
@@ -46,7 +46,7 @@
 	schedule_next_end();
 }
 
-void backend_words::schedule_next_end()
+void backend_reports::schedule_next_end()
 {
 	if (m_resting.empty())
 	{
@@ -63,7 +63,7 @@
 	    });
 }
 
-void backend_words::on_leaving(backend_server& _backend)
+void backend_reports::on_leaving(backend_server& _backend)
 {
 	if (_backend.reported_leaving)
 	{
@@ -75,7 +75,7 @@
 	                .text("service", _backend.registered.service.text));
 }
 
-void backend_words::end_rests()
+void backend_reports::end_rests()
 {
 	const steady_time now = m_clock.steady();
 	while (!m_resting.empty() && m_resting.begin()->first.first <= now)
@@ -88,7 +88,7 @@
 	m_on_rest_end();
 }
 
-void backend_words::log_rest(
+void backend_reports::log_rest(
     const backend_server& _backend, const char* _state, std::chrono::milliseconds _rest)
 {
 	m_log.write(log_line(event::backend_resting)
--- a/src/entry_node/backend_words_p.h
+++ b/src/entry_node/backend_words_p.h
@@ -19,11 +19,11 @@
 namespace larkrack
 {
 /// Processes the reports of backend servers for all requests of a node.
-class backend_words : public backend_report_listener_base
+class backend_reports : public backend_report_listener_base
 {
 public:
 	/// @param[in] _on_rest_end Called when a backend server accepts requests again.
-	backend_words(asio::io_context& _context, const clock_base& _clock, limit_gate_base& _limits,
+	backend_reports(asio::io_context& _context, const clock_base& _clock, limit_admission_base& _limits,
 	    entry_log& _log, std::function<void()> _on_rest_end);
 
 	void on_backend_report(const backend_ptr& _backend, const backend_report& _reports) override;
@@ -51,7 +51,7 @@
 	void log_rest(const backend_server& _backend, const char* _state, std::chrono::milliseconds _rest);
 
 	const clock_base& m_clock;
-	limit_gate_base& m_limits;
+	limit_admission_base& m_limits;
 	entry_log& m_log;
 	std::function<void()> m_on_rest_end;
 	asio::steady_timer m_timer;
--- a/src/entry_node/crash_guard.cpp
+++ b/src/entry_node/crash_guard.cpp
@@ -77,7 +77,7 @@
 	}
 }
 
-bool crash_guard::concerns(std::uint64_t _head) const
+bool crash_guard::tracks_head(std::uint64_t _head) const
 {
 	return m_blocked.may_match(_head) || (!m_observed.empty() && m_observed.suspects(_head));
 }
@@ -93,8 +93,8 @@
 	return decision;
 }
 
-void crash_guard::ask_for_look(
-    const request_fingerprint& _request, const service_name& _service, look_handler _decided)
+void crash_guard::request_trial(
+    const request_fingerprint& _request, const service_name& _service, trial_handler _decided)
 {
 	const responsible_node counting_node = m_fleet.responsible_for(_request.content).first;
 	const std::uint32_t versions = versions_of(_service);
@@ -119,7 +119,7 @@
 			    wake();
 		    }
 	    });
-	send(look_request{_request, versions}, {counting_node.ip});
+	send(trial_request{_request, versions}, {counting_node.ip});
 }
 
 std::optional<request_block> crash_guard::grant_trial(
@@ -140,18 +140,18 @@
 	{
 		return; // The request does not wait any more; the trial counts as used.
 	}
-	const look_handler decided = std::move(it->second.decided);
+	const trial_handler decided = std::move(it->second.decided);
 	m_pending_trials.erase(it);
 	m_refused += _granted ? 0 : 1;
 	decided(_granted);
 }
 
-void crash_guard::on_look_returned(const request_fingerprint& _request)
+void crash_guard::on_trial_unused(const request_fingerprint& _request)
 {
 	const responsible_node counting_node = m_fleet.responsible_for(_request.content).first;
 	if (!counting_node.ip.empty())
 	{
-		send(look_returned{_request}, {counting_node.ip});
+		send(trial_unused{_request}, {counting_node.ip});
 		return;
 	}
 	if (const auto returned = m_blocked.return_trial(_request, m_clock.steady()))
@@ -226,7 +226,7 @@
 	const steady_time now = m_clock.steady();
 	const bool caller_only = has_no_body(_request) && m_served.has(_request.content, now);
 	m_observed.on_crash(_request, {_instance, _request.caller, caller_only, now});
-	const end_report report{_request, _instance, caller_only};
+	const crash_report report{_request, _instance, caller_only};
 	send_to_counting_nodes(report, _request);
 	repeat(report, {}, k_report_repeats);
 }
@@ -256,7 +256,7 @@
 		m_served.note(_request.content, m_clock.steady());
 		m_served.note(served_key(_request), m_clock.steady());
 	}
-	if (!concerns(_request.head))
+	if (!tracks_head(_request.head))
 	{
 		return;
 	}
@@ -264,11 +264,11 @@
 	m_observed.on_served(_request);
 	if (suspected)
 	{
-		send_to_counting_nodes(served_report{_request}, _request);
+		send_to_counting_nodes(success_report{_request}, _request);
 	}
 }
 
-void crash_guard::count_crash(const end_report& _report)
+void crash_guard::count_crash(const crash_report& _report)
 {
 	const std::optional<request_fingerprint> blamed = m_counted.on_crash(
 	    _report.request, {_report.life, _report.request.caller, _report.caller_only, m_clock.steady()});
@@ -278,7 +278,7 @@
 	}
 }
 
-void crash_guard::count_served(const served_report& _report)
+void crash_guard::count_served(const success_report& _report)
 {
 	m_counted.on_served(_report.request);
 	const request_block* found = m_blocked.find(_report.request);
@@ -317,7 +317,7 @@
 		}
 	}
 	receivers.erase(""); // No node of the region is reachable.
-	const block_news update{_block, true};
+	const block_update update{_block, true};
 	const std::vector<std::string> addresses(receivers.begin(), receivers.end());
 	send(update, addresses);
 	repeat(update, addresses, k_block_repeats);
@@ -359,13 +359,13 @@
 {
 	if (_block.blocked && was_served_recently(_block.request))
 	{
-		send_to_counting_nodes(served_report{_block.request}, _block.request);
+		send_to_counting_nodes(success_report{_block.request}, _block.request);
 	}
 }
 
 void crash_guard::send_to_region(const request_block& _block)
 {
-	const block_news update{_block, false};
+	const block_update update{_block, false};
 	const std::vector<std::string> addresses = m_fleet.region_addresses();
 	send(update, addresses);
 	repeat(update, addresses, k_block_repeats);
@@ -381,7 +381,7 @@
 	apply_block(_block);
 }
 
-void crash_guard::on_block_gone(const request_fingerprint& _request)
+void crash_guard::on_block_removed(const request_fingerprint& _request)
 {
 	const auto it = m_unwritten.find(_request);
 	const request_block* known = m_blocked.known(_request);
@@ -397,31 +397,31 @@
 
 void crash_guard::on_message(const crash_message& _message, const std::string& _sender_ip)
 {
-	if (const auto* report = std::get_if<end_report>(&_message))
+	if (const auto* report = std::get_if<crash_report>(&_message))
 	{
 		count_crash(*report);
 	}
-	else if (const auto* served = std::get_if<served_report>(&_message))
+	else if (const auto* served = std::get_if<success_report>(&_message))
 	{
 		count_served(*served);
 	}
-	else if (const auto* update = std::get_if<block_news>(&_message))
+	else if (const auto* update = std::get_if<block_update>(&_message))
 	{
 		if (apply_block(update->block) && update->forwards_changes)
 		{
 			send_to_region(update->block);
 		}
 	}
-	else if (const auto* asked = std::get_if<look_request>(&_message))
+	else if (const auto* asked = std::get_if<trial_request>(&_message))
 	{
 		const bool granted = grant_trial(asked->request, asked->versions).has_value();
-		send(look_answer{asked->request, granted}, {_sender_ip});
+		send(trial_response{asked->request, granted}, {_sender_ip});
 	}
-	else if (const auto* answer = std::get_if<look_answer>(&_message))
+	else if (const auto* answer = std::get_if<trial_response>(&_message))
 	{
 		finish_trial(answer->request, answer->granted);
 	}
-	else if (const auto* returned = std::get_if<look_returned>(&_message))
+	else if (const auto* returned = std::get_if<trial_unused>(&_message))
 	{
 		if (const auto block = m_blocked.return_trial(returned->request, m_clock.steady()))
 		{
@@ -463,7 +463,7 @@
 
 void crash_guard::repeat(const crash_message& _message, std::vector<std::string> _addresses, int _times)
 {
-	const bool to_counting_nodes = std::holds_alternative<end_report>(_message);
+	const bool to_counting_nodes = std::holds_alternative<crash_report>(_message);
 	if (m_repeats.size() < k_max_repeats && (to_counting_nodes || !_addresses.empty()))
 	{
 		m_repeats.push_back({_message, std::move(_addresses), m_clock.steady() + k_first_repeat, _times});
@@ -480,8 +480,8 @@
 			++it;
 			continue;
 		}
-		const auto* report = std::get_if<end_report>(&it->message);
-		const auto* update = std::get_if<block_news>(&it->message);
+		const auto* report = std::get_if<crash_report>(&it->message);
+		const auto* update = std::get_if<block_update>(&it->message);
 		const request_block* known = nullptr == update ? nullptr : m_blocked.known(update->block.request);
 		const bool outdated = nullptr != known && known->number > update->block.number;
 		if (nullptr != report)
--- a/src/entry_node/crash_guard_p.h
+++ b/src/entry_node/crash_guard_p.h
@@ -16,14 +16,14 @@
 /// a trial, so that an innocent one is cleared; the first counting node grants the trials.
 ///
 /// Messages:
-/// - end_report: from a node that observed a crash to the counting nodes, for each crash, sent twice.
-/// - block_news: from a counting node to the nodes of its region and, in each other region, to one node and
+/// - crash_report: from a node that observed a crash to the counting nodes, for each crash, sent twice.
+/// - block_update: from a counting node to the nodes of its region and, in each other region, to one node and
 ///   its stand-in, which forward it within their region; when a request is blocked, let through or cleared,
 ///   sent three times. The counting node also writes the same state to the store, and repeats the write until
 ///   it reads the state back.
-/// - look_request and look_answer: between a node that received a blocked request and the first counting
-///   node, when a trial may be due. look_returned: the trial reached no backend server.
-/// - served_report: from a node that served a suspected request to the counting nodes.
+/// - trial_request and trial_response: between a node that received a blocked request and the first counting
+///   node, when a trial may be due. trial_unused: the trial reached no backend server.
+/// - success_report: from a node that served a suspected request to the counting nodes.
 ///
 /// Cost: nothing while no backend server crashes and nothing is blocked, except for two hashes of each served
 /// request without a body. A crash costs two datagrams for each request that ran on the backend server; a
@@ -45,26 +45,26 @@
 namespace larkrack
 {
 /// Interface by which requests learn whether they are blocked, and report how their exchanges ended.
-class crash_gate_base
+class crash_admission_base
 {
 public:
-	using look_handler = std::function<void(bool _granted)>;
+	using trial_handler = std::function<void(bool _granted)>;
 
-	virtual ~crash_gate_base() = default;
+	virtual ~crash_admission_base() = default;
 	/// Takes constant time while no request is blocked or suspected.
 	/// @param[in] _head Hash of the request's head, see request_fingerprint.
 	/// @returns Whether a request with that head may be blocked or suspected.
-	virtual bool concerns(std::uint64_t _head) const = 0;
+	virtual bool tracks_head(std::uint64_t _head) const = 0;
 	/// @returns Whether any request is blocked.
-	virtual bool blocks_any() const = 0;
+	virtual bool has_blocked_requests() const = 0;
 	/// Decides whether a received request may be sent to a backend server.
 	virtual block_decision decide(const request_fingerprint& _request, const service_name& _service) = 0;
 	/// Asks the first counting node whether a blocked request may be let through as a trial.
 	/// @param[in] _decided Called exactly once, immediately or after a delay.
-	virtual void ask_for_look(
-	    const request_fingerprint& _request, const service_name& _service, look_handler _decided) = 0;
+	virtual void request_trial(
+	    const request_fingerprint& _request, const service_name& _service, trial_handler _decided) = 0;
 	/// Reports that a request that was let through as a trial reached no backend server.
-	virtual void on_look_returned(const request_fingerprint& _request) = 0;
+	virtual void on_trial_unused(const request_fingerprint& _request) = 0;
 	/// Reports that the connection to a backend server broke with a request on it.
 	virtual void on_connection_broken(const backend_ptr& _backend, const request_fingerprint& _request) = 0;
 	/// @returns Whether a request whose connection broke may be sent to another backend server.
@@ -74,16 +74,16 @@
 };
 
 /// Receives changes of the store's keys for blocked requests.
-class block_keys_base
+class block_listener_base
 {
 public:
-	virtual ~block_keys_base() = default;
+	virtual ~block_listener_base() = default;
 	virtual void on_block(const request_block& _block) = 0;
-	virtual void on_block_gone(const request_fingerprint& _request) = 0;
+	virtual void on_block_removed(const request_fingerprint& _request) = 0;
 };
 
 /// The node's part in detecting and blocking requests that crash backend servers.
-class crash_guard : public crash_gate_base, public block_keys_base
+class crash_guard : public crash_admission_base, public block_listener_base
 {
 public:
 	using sender = std::function<void(const std::vector<std::uint8_t>& _bytes, const std::string& _ip)>;
@@ -95,20 +95,20 @@
 	    writer _write);
 	~crash_guard() override;
 
-	bool concerns(std::uint64_t _head) const override;
-	bool blocks_any() const override
+	bool tracks_head(std::uint64_t _head) const override;
+	bool has_blocked_requests() const override
 	{
 		return !m_blocked.empty();
 	}
 	block_decision decide(const request_fingerprint& _request, const service_name& _service) override;
-	void ask_for_look(
-	    const request_fingerprint& _request, const service_name& _service, look_handler _decided) override;
-	void on_look_returned(const request_fingerprint& _request) override;
+	void request_trial(
+	    const request_fingerprint& _request, const service_name& _service, trial_handler _decided) override;
+	void on_trial_unused(const request_fingerprint& _request) override;
 	void on_connection_broken(const backend_ptr& _backend, const request_fingerprint& _request) override;
 	bool may_retry(const request_fingerprint& _request) const override;
 	void on_answered(const request_fingerprint& _request) override;
 	void on_block(const request_block& _block) override;
-	void on_block_gone(const request_fingerprint& _request) override;
+	void on_block_removed(const request_fingerprint& _request) override;
 
 	/// Processes the crash of a backend server.
 	/// @param[in] _requests Requests of this node that the backend server was running.
@@ -150,7 +150,7 @@
 	/// A request for a trial that awaits its response.
 	struct pending_trial
 	{
-		look_handler decided;
+		trial_handler decided;
 		steady_time until{};
 	};
 	/// Cached hash of the versions that a service's backend servers run.
@@ -170,8 +170,8 @@
 	/// Reports the crash of a backend server to the counting nodes of a request that it was running, unless
 	/// the request was served recently.
 	void report_crash(std::uint32_t _instance, const request_fingerprint& _request);
-	void count_crash(const end_report& _report);
-	void count_served(const served_report& _report);
+	void count_crash(const crash_report& _report);
+	void count_served(const success_report& _report);
 	/// @returns Whether a request without a body was served recently for the same caller at this node.
 	bool was_served_recently(const request_fingerprint& _request) const;
 	/// Blocks a request for all nodes.
--- a/src/entry_node/crash_messages.cpp
+++ b/src/entry_node/crash_messages.cpp
@@ -17,7 +17,7 @@
 constexpr std::size_t k_fields = 8;
 /// First byte of a CBOR array of k_fields elements; no other datagram between nodes begins with it.
 constexpr std::uint8_t k_first_byte = 0x80 + k_fields;
-/// Flag bits of block_news.
+/// Flag bits of block_update.
 constexpr std::uint64_t k_blocked_bit = 1;
 constexpr std::uint64_t k_forward_bit = 2; ///< See above.
 
@@ -27,39 +27,39 @@
 	std::uint64_t values[4] = {0, 0, 0, 0};
 };
 
-message_values values_of(const end_report& _report)
+message_values values_of(const crash_report& _report)
 {
 	return {{_report.life, _report.caller_only ? 1U : 0U}};
 }
 
-message_values values_of(const served_report&)
+message_values values_of(const success_report&)
 {
 	return {};
 }
 
-message_values values_of(const block_news& _update)
+message_values values_of(const block_update& _update)
 {
 	const std::uint64_t flags =
 	    (_update.block.blocked ? k_blocked_bit : 0) | (_update.forwards_changes ? k_forward_bit : 0);
 	return {{flags, _update.block.number, _update.block.trials, _update.block.versions}};
 }
 
-message_values values_of(const look_request& _request)
+message_values values_of(const trial_request& _request)
 {
 	return {{_request.versions}};
 }
 
-message_values values_of(const look_answer& _answer)
+message_values values_of(const trial_response& _answer)
 {
 	return {{_answer.granted ? 1U : 0U}};
 }
 
-message_values values_of(const look_returned&)
+message_values values_of(const trial_unused&)
 {
 	return {};
 }
 
-const request_fingerprint& request_of(const block_news& _update)
+const request_fingerprint& request_of(const block_update& _update)
 {
 	return _update.block.request;
 }
@@ -80,18 +80,18 @@
 	switch (_layout - k_first_layout)
 	{
 	case 0:
-		return end_report{_request, value(0), 0 != value(1)};
+		return crash_report{_request, value(0), 0 != value(1)};
 	case 1:
-		return served_report{_request};
+		return success_report{_request};
 	case 2:
-		return block_news{{_request, 0 != (value(0) & k_blocked_bit), value(1), value(2), value(3)},
+		return block_update{{_request, 0 != (value(0) & k_blocked_bit), value(1), value(2), value(3)},
 		    0 != (value(0) & k_forward_bit)};
 	case 3:
-		return look_request{_request, value(0)};
+		return trial_request{_request, value(0)};
 	case 4:
-		return look_answer{_request, 0 != value(0)};
+		return trial_response{_request, 0 != value(0)};
 	default:
-		return look_returned{_request};
+		return trial_unused{_request};
 	}
 }
 
--- a/src/entry_node/crash_messages_p.h
+++ b/src/entry_node/crash_messages_p.h
@@ -21,7 +21,7 @@
 namespace larkrack
 {
 /// To the counting nodes: a backend server crashed while it ran a request.
-struct end_report
+struct crash_report
 {
 	request_fingerprint request;
 	std::uint32_t life = 0;   ///< incarnation_hash() of the backend server.
@@ -29,40 +29,40 @@
 };
 
 /// To the counting nodes: a suspected request was served.
-struct served_report
+struct success_report
 {
 	request_fingerprint request;
 };
 
 /// To all nodes: the current state of a blocked or cleared request.
-struct block_news
+struct block_update
 {
 	request_block block;
 	bool forwards_changes = false; ///< The receiver forwards the update to the nodes of its region.
 };
 
 /// To the first counting node: asks whether a blocked request may be let through once, as a trial.
-struct look_request
+struct trial_request
 {
 	request_fingerprint request;
 	std::uint32_t versions = 0; ///< Hash of the versions that the service's backend servers run.
 };
 
-/// Response to look_request.
-struct look_answer
+/// Response to trial_request.
+struct trial_response
 {
 	request_fingerprint request;
 	bool granted = false;
 };
 
 /// To the first counting node: a request that was let through reached no backend server.
-struct look_returned
+struct trial_unused
 {
 	request_fingerprint request;
 };
 
 using crash_message =
-    std::variant<end_report, served_report, block_news, look_request, look_answer, look_returned>;
+    std::variant<crash_report, success_report, block_update, trial_request, trial_response, trial_unused>;
 
 /// @returns The message as CBOR.
 std::vector<std::uint8_t> encode(const crash_message& _message);
--- a/src/entry_node/customer_quotas_p.h
+++ b/src/entry_node/customer_quotas_p.h
@@ -16,12 +16,12 @@
 namespace larkrack
 {
 /// Interface by which requests of customers with a limit take tokens before they are forwarded.
-class quota_gate_base
+class quota_admission_base
 {
 public:
 	using handler = token_exchange::handler;
 
-	virtual ~quota_gate_base() = default;
+	virtual ~quota_admission_base() = default;
 	/// Takes a token, or waits for one.
 	/// @param[in] _decided Called exactly once, immediately or later, never with quota_answer::waits.
 	virtual void take(const customer& _customer, handler _decided) = 0;
@@ -32,7 +32,7 @@
 };
 
 /// Quotas of customers, shared by all nodes.
-class customer_quotas : public quota_gate_base, private token_owner_base
+class customer_quotas : public quota_admission_base, private token_owner_base
 {
 public:
 	using sender = std::function<void(const std::vector<std::uint8_t>& _bytes, const std::string& _ip)>;
--- a/src/entry_node/entry_node_peers.cpp
+++ b/src/entry_node/entry_node_peers.cpp
@@ -188,7 +188,7 @@
 		return;
 	}
 	store_changes sent = _changes;
-	const bool routes_omitted = take_out_if_large(sent.batch, m_dialect.codec().routes_key());
+	const bool routes_omitted = remove_if_oversized(sent.batch, m_dialect.codec().routes_key());
 	const std::vector<store_changes> parts = split_for_datagrams(sent);
 	const change_delivery method = choose_change_delivery(parts.size(), m_fleet.is_large());
 	if (change_delivery::datagrams == method)
--- a/src/entry_node/forwarded_request_attempts.cpp
+++ b/src/entry_node/forwarded_request_attempts.cpp
@@ -193,7 +193,7 @@
 	request.at_most_once = repeat_rule::at_most_once == m_route->repeat;
 	m_state = state::sent;
 	m_tried.push_back(_backend->registered.id);
-	m_context.backends.note_sent(*_backend);
+	m_context.backends.mark_in_use(*_backend);
 	m_sent_at = m_context.clock.steady();
 	++m_context.counters.attempts;
 	m_exchange =
--- a/src/entry_node/forwarded_request_blocks.cpp
+++ b/src/entry_node/forwarded_request_blocks.cpp
@@ -41,8 +41,8 @@
 
 bool forwarded_request::handle_if_blocked()
 {
-	crash_gate_base& crashes = m_context.crashes;
-	if (!crashes.blocks_any() || !crashes.concerns(head_hash()))
+	crash_admission_base& crashes = m_context.crashes;
+	if (!crashes.has_blocked_requests() || !crashes.tracks_head(head_hash()))
 	{
 		return false;
 	}
@@ -58,7 +58,7 @@
 	}
 	leave_queue();
 	m_state = state::initial;
-	crashes.ask_for_look(fingerprint(), m_service,
+	crashes.request_trial(fingerprint(), m_service,
 	    [self = shared_from_this()](bool _granted)
 	    {
 		    self->on_trial_decided(_granted);
@@ -94,7 +94,7 @@
 
 void forwarded_request::report_exchange(const backend_ptr& _backend, const exchange_result& _result)
 {
-	crash_gate_base& crashes = m_context.crashes;
+	crash_admission_base& crashes = m_context.crashes;
 	const bool ran = exchange_outcome::answered == _result.end || exchange_outcome::lost == _result.end;
 	if (trial_state::granted == m_trial && ran)
 	{
@@ -106,7 +106,7 @@
 		return;
 	}
 	const bool no_body = m_request.body().empty();
-	if (exchange_outcome::answered == _result.end && (no_body || crashes.concerns(head_hash())))
+	if (exchange_outcome::answered == _result.end && (no_body || crashes.tracks_head(head_hash())))
 	{
 		crashes.on_answered(fingerprint());
 	}
@@ -117,7 +117,7 @@
 	const bool was_sent = m_exchange && m_exchange->sent();
 	if (trial_state::granted == m_trial && !was_sent)
 	{
-		m_context.crashes.on_look_returned(fingerprint());
+		m_context.crashes.on_trial_unused(fingerprint());
 	}
 	m_trial = trial_state::none;
 }
--- a/src/entry_node/forwarder.cpp
+++ b/src/entry_node/forwarder.cpp
@@ -25,8 +25,8 @@
 
 forwarder::forwarder(asio::io_context& _context, const clock_base& _clock, header_names _names,
     const placement& _placement, shared_bounds _bounds, backend_registry& _backends,
-    const fleet_view_base& _fleet, quota_gate_base& _quotas, rollout_gate_base& _rollouts,
-    limit_gate_base& _limits, crash_gate_base& _crashes, entry_log& _log, metrics& _metrics)
+    const fleet_view_base& _fleet, quota_admission_base& _quotas, rollout_routing_base& _rollouts,
+    limit_admission_base& _limits, crash_admission_base& _crashes, entry_log& _log, metrics& _metrics)
     : m_reports(_context, _clock, _limits, _log,
           [this]
           {
--- a/src/entry_node/forwarder_p.h
+++ b/src/entry_node/forwarder_p.h
@@ -62,10 +62,10 @@
 	domain_name domain; ///< Failure domain of this node.
 	backend_registry& backends;
 	const fleet_view_base& fleet;
-	quota_gate_base& quotas;
-	rollout_gate_base& rollouts;
-	limit_gate_base& limits;
-	crash_gate_base& crashes;
+	quota_admission_base& quotas;
+	rollout_routing_base& rollouts;
+	limit_admission_base& limits;
+	crash_admission_base& crashes;
 	backend_report_listener_base& reports;
 	entry_log& log;
 	metrics& exported_metrics;
@@ -98,8 +98,8 @@
 public:
 	forwarder(asio::io_context& _context, const clock_base& _clock, header_names _names,
 	    const placement& _placement, shared_bounds _bounds, backend_registry& _backends,
-	    const fleet_view_base& _fleet, quota_gate_base& _quotas, rollout_gate_base& _rollouts,
-	    limit_gate_base& _limits, crash_gate_base& _crashes, entry_log& _log, metrics& _metrics);
+	    const fleet_view_base& _fleet, quota_admission_base& _quotas, rollout_routing_base& _rollouts,
+	    limit_admission_base& _limits, crash_admission_base& _crashes, entry_log& _log, metrics& _metrics);
 	~forwarder() override;
 
 	/// Accepts a request of a caller.
@@ -126,7 +126,7 @@
 	/// may run in one region only are included, and also listed apart under the name of pinned_requests_of().
 	rate_by_service_and_region sent_per_s() const;
 	/// @returns Reports of backend servers about themselves.
-	const backend_words& words() const
+	const backend_reports& words() const
 	{
 		return m_reports;
 	}
@@ -156,7 +156,7 @@
 	}
 	void update(const service_name& _name, service_steering& _steering, steady_time _now);
 
-	backend_words m_reports;
+	backend_reports m_reports;
 	request_context m_context;
 	shared_bounds m_bounds;
 	std::map<service_name, forwarded_service> m_services;
--- a/src/entry_node/rollouts.cpp
+++ b/src/entry_node/rollouts.cpp
@@ -130,7 +130,7 @@
 	m_rollouts[_order.service] = std::move(started);
 }
 
-void rollouts::on_order_gone(const service_name& _service)
+void rollouts::on_order_removed(const service_name& _service)
 {
 	m_rollouts.erase(_service);
 }
@@ -150,7 +150,7 @@
 	                .number("revision", _status.revision));
 }
 
-void rollouts::on_status_gone(const service_name& _service)
+void rollouts::on_status_removed(const service_name& _service)
 {
 	m_statuses.erase(_service);
 }
--- a/src/entry_node/rollouts_p.h
+++ b/src/entry_node/rollouts_p.h
@@ -38,10 +38,10 @@
 };
 
 /// Interface by which requests learn which version to use, and report the results of attempts.
-class rollout_gate_base
+class rollout_routing_base
 {
 public:
-	virtual ~rollout_gate_base() = default;
+	virtual ~rollout_routing_base() = default;
 	/// Counts a request of a service, and selects its version.
 	/// @param[in] _position Position of the request's affinity key in [0, 1), or a random number.
 	/// @returns Which backend servers the request may be sent to.
@@ -51,20 +51,20 @@
 };
 
 /// Receives changes of the store's keys for roll-outs.
-class rollout_keys_base
+class rollout_listener_base
 {
 public:
-	virtual ~rollout_keys_base() = default;
+	virtual ~rollout_listener_base() = default;
 	virtual void on_order(const rollout_order& _order) = 0;
-	virtual void on_order_gone(const service_name& _service) = 0;
+	virtual void on_order_removed(const service_name& _service) = 0;
 	virtual void on_status(const rollout_status& _status) = 0;
-	virtual void on_status_gone(const service_name& _service) = 0;
+	virtual void on_status_removed(const service_name& _service) = 0;
 	/// Reports a key whose value is not a valid order or state.
 	virtual void on_refused(const std::string& _key, const error& _why) = 0;
 };
 
 /// All roll-outs that this node knows.
-class rollouts : public rollout_gate_base, public rollout_keys_base
+class rollouts : public rollout_routing_base, public rollout_listener_base
 {
 public:
 	using sender = std::function<void(const std::vector<std::uint8_t>& _bytes, const std::string& _ip)>;
@@ -81,9 +81,9 @@
 	version_rule rule_for(const service_name& _service, double _position) override;
 	void on_attempt_end(const version_attempt& _attempt) override;
 	void on_order(const rollout_order& _order) override;
-	void on_order_gone(const service_name& _service) override;
+	void on_order_removed(const service_name& _service) override;
 	void on_status(const rollout_status& _status) override;
-	void on_status_gone(const service_name& _service) override;
+	void on_status_removed(const service_name& _service) override;
 	void on_refused(const std::string& _key, const error& _why) override;
 	/// Processes the report of another node.
 	void on_report(const rollout_report& _report);
--- a/src/entry_node/state_replica.cpp
+++ b/src/entry_node/state_replica.cpp
@@ -407,7 +407,7 @@
 	const result<request_fingerprint> request = m_codec.blocked_request_of(_key);
 	if (nullptr != m_blocks && std::holds_alternative<request_fingerprint>(request))
 	{
-		m_blocks->on_block_gone(std::get<request_fingerprint>(request));
+		m_blocks->on_block_removed(std::get<request_fingerprint>(request));
 	}
 }
 
@@ -450,10 +450,10 @@
 	const service_name service(m_codec.name_of(_key));
 	if (record_kind::rollout_order == m_codec.kind_of(_key))
 	{
-		m_rollouts->on_order_gone(service);
+		m_rollouts->on_order_removed(service);
 		return;
 	}
-	m_rollouts->on_status_gone(service);
+	m_rollouts->on_status_removed(service);
 }
 
 void state_replica::tick()
--- a/src/entry_node/state_replica_p.h
+++ b/src/entry_node/state_replica_p.h
@@ -115,12 +115,12 @@
 	    entry_log& _log, routes_handler _on_routes, node_handler _on_node);
 
 	/// Sets the receiver of roll-out keys; without a receiver the keys are ignored.
-	void set_rollouts(rollout_keys_base* _rollouts)
+	void set_rollouts(rollout_listener_base* _rollouts)
 	{
 		m_rollouts = _rollouts;
 	}
 	/// Sets the receiver of block keys; without a receiver the keys are ignored.
-	void set_blocks(block_keys_base* _blocks)
+	void set_blocks(block_listener_base* _blocks)
 	{
 		m_blocks = _blocks;
 	}
@@ -231,8 +231,8 @@
 	std::int64_t m_deletes_complete_after = 0; ///< All deletes after this revision are known.
 	std::int64_t m_revision = 0;
 	std::optional<copy_in_progress> m_copy;
-	rollout_keys_base* m_rollouts = nullptr;
-	block_keys_base* m_blocks = nullptr;
+	rollout_listener_base* m_rollouts = nullptr;
+	block_listener_base* m_blocks = nullptr;
 	entry_removal m_removal;
 };
 } // namespace larkrack
--- a/src/entry_node/store_changes_codec.cpp
+++ b/src/entry_node/store_changes_codec.cpp
@@ -164,7 +164,7 @@
 	return page;
 }
 
-bool take_out_if_large(watch_batch& _batch, const std::string& _key)
+bool remove_if_oversized(watch_batch& _batch, const std::string& _key)
 {
 	const auto is_large = [&_key](const store_value& _value)
 	{
--- a/src/entry_node/store_changes_codec_p.h
+++ b/src/entry_node/store_changes_codec_p.h
@@ -22,7 +22,7 @@
 /// Removes puts of a key from a batch that are too large for a datagram, so that they do not delay the other
 /// changes: the other changes are sent at once, and the receivers request the large value separately.
 /// @returns Whether any put was removed.
-bool take_out_if_large(watch_batch& _batch, const std::string& _key);
+bool remove_if_oversized(watch_batch& _batch, const std::string& _key);
 /// Splits changes into parts that fit into a datagram each.
 /// @returns The parts in order; empty when a single value is too large.
 std::vector<store_changes> split_for_datagrams(const store_changes& _changes);
--- a/tests/crash_model_test.cpp
+++ b/tests/crash_model_test.cpp
@@ -268,7 +268,7 @@
 			++m_refused[_request];
 			return;
 		}
-		at(_node).guard->ask_for_look(request_of(_request), service_name("shop"),
+		at(_node).guard->request_trial(request_of(_request), service_name("shop"),
 		    [this, _node, _request, _crashing](bool _granted)
 		    {
 			    m_refused[_request] += _granted ? 0 : 1;
@@ -334,7 +334,7 @@
 			{
 				if (other != _node)
 				{
-					send(_node, other, encode(end_report{request, _instance, false}));
+					send(_node, other, encode(crash_report{request, _instance, false}));
 				}
 			}
 		}
@@ -368,7 +368,7 @@
 				    at(_to).guard->on_message(*value_of(decoded), std::to_string(_from));
 				    return;
 			    }
-			    const end_report& report = std::get<end_report>(*value_of(decoded));
+			    const crash_report& report = std::get<crash_report>(*value_of(decoded));
 			    count_crash(_to, report.request, report.life);
 		    });
 	}
@@ -402,7 +402,7 @@
 				    }
 				    else if (!node.dead)
 				    {
-					    node.guard->on_block_gone(_block.request);
+					    node.guard->on_block_removed(_block.request);
 				    }
 			    }
 		    });
--- a/tests/customer_requests_test.cpp
+++ b/tests/customer_requests_test.cpp
@@ -209,7 +209,7 @@
 		    });
 		CPPUNIT_ASSERT(backend.requests.empty());
 		// Moved out, since the handler holds the request, and the request needs the fixture's context.
-		const quota_gate_base::handler decide = std::exchange(m_quotas.waiting, nullptr);
+		const quota_admission_base::handler decide = std::exchange(m_quotas.waiting, nullptr);
 		decide(quota_answer::granted);
 		CPPUNIT_ASSERT_EQUAL(200U, caller.receive().result_int());
 		CPPUNIT_ASSERT(m_quotas.given_back.empty());
--- a/tests/entry_fixture.h
+++ b/tests/entry_fixture.h
@@ -84,7 +84,7 @@
 
 /// Quota gate that gives each request the answer set by the test. With quota_answer::waits the request waits
 /// until the test calls the handler in "waiting".
-class scripted_quotas : public quota_gate_base
+class scripted_quotas : public quota_admission_base
 {
 public:
 	void take(const customer& _customer, handler _decided) override
@@ -114,7 +114,7 @@
 };
 
 /// Roll-out gate that gives each request the rule set by the test, and records the reported attempts.
-class scripted_rollouts : public rollout_gate_base
+class scripted_rollouts : public rollout_routing_base
 {
 public:
 	version_rule rule_for(const service_name&, double) override
@@ -132,7 +132,7 @@
 
 /// Limit gate that applies the limits that backend servers report, and gives each request the answer set by
 /// the test.
-class scripted_limits : public limit_gate_base
+class scripted_limits : public limit_admission_base
 {
 public:
 	quota_answer take(const backend_state&) override
@@ -148,7 +148,7 @@
 	{
 		++given_back;
 	}
-	void on_word(backend_server& _backend, const limit_report& _word) override
+	void on_limit_report(backend_server& _backend, const limit_report& _word) override
 	{
 		_backend.limit.hear(_word);
 	}
@@ -161,14 +161,14 @@
 
 /// Crash gate that decides on each request as set by the test (by default it blocks none), and records what
 /// is reported of requests.
-class scripted_crashes : public crash_gate_base
+class scripted_crashes : public crash_admission_base
 {
 public:
-	bool concerns(std::uint64_t) const override
+	bool tracks_head(std::uint64_t) const override
 	{
 		return true;
 	}
-	bool blocks_any() const override
+	bool has_blocked_requests() const override
 	{
 		return block_decision::open != decision;
 	}
@@ -177,11 +177,11 @@
 		decided.push_back(_request);
 		return decision;
 	}
-	void ask_for_look(const request_fingerprint&, const service_name&, look_handler _decided) override
+	void request_trial(const request_fingerprint&, const service_name&, trial_handler _decided) override
 	{
 		waiting = std::move(_decided);
 	}
-	void on_look_returned(const request_fingerprint&) override
+	void on_trial_unused(const request_fingerprint&) override
 	{
 		++trials_returned;
 	}
@@ -200,7 +200,7 @@
 
 	block_decision decision = block_decision::open;
 	bool resends = true;
-	look_handler waiting;
+	trial_handler waiting;
 	int trials_returned = 0;
 	std::vector<request_fingerprint> decided;
 	std::vector<request_fingerprint> broken;
--- a/tests/forms/crash_form_test.cpp
+++ b/tests/forms/crash_form_test.cpp
@@ -46,26 +46,26 @@
 		};
 		CPPUNIT_ASSERT_EQUAL(std::string("88186d0102030901"
 		                                 "0000"),
-		    hex(end_report{k_request, 9, true}));
-		CPPUNIT_ASSERT_EQUAL(std::string("88186e01020300000000"), hex(served_report{k_request}));
+		    hex(crash_report{k_request, 9, true}));
+		CPPUNIT_ASSERT_EQUAL(std::string("88186e01020300000000"), hex(success_report{k_request}));
 		CPPUNIT_ASSERT_EQUAL(
-		    std::string("88186f01020303040107"), hex(block_news{{k_request, true, 4, 1, 7}, true}));
-		CPPUNIT_ASSERT_EQUAL(std::string("88187001020307000000"), hex(look_request{k_request, 7}));
-		CPPUNIT_ASSERT_EQUAL(std::string("88187101020301000000"), hex(look_answer{k_request, true}));
-		CPPUNIT_ASSERT_EQUAL(std::string("88187201020300000000"), hex(look_returned{k_request}));
+		    std::string("88186f01020303040107"), hex(block_update{{k_request, true, 4, 1, 7}, true}));
+		CPPUNIT_ASSERT_EQUAL(std::string("88187001020307000000"), hex(trial_request{k_request, 7}));
+		CPPUNIT_ASSERT_EQUAL(std::string("88187101020301000000"), hex(trial_response{k_request, true}));
+		CPPUNIT_ASSERT_EQUAL(std::string("88187201020300000000"), hex(trial_unused{k_request}));
 	}
 
 	void messages_are_read_back()
 	{
-		const end_report end = read_back(end_report{k_request, 9, true});
+		const crash_report end = read_back(crash_report{k_request, 9, true});
 		CPPUNIT_ASSERT(k_request == end.request && 1 == end.request.head && 9 == end.life && end.caller_only);
-		const block_news news = read_back(block_news{{k_request, false, 4, 1, 7}, false});
+		const block_update news = read_back(block_update{{k_request, false, 4, 1, 7}, false});
 		CPPUNIT_ASSERT(!news.block.blocked && 4 == news.block.number && 1 == news.block.trials);
 		CPPUNIT_ASSERT(7 == news.block.versions && !news.forwards_changes);
-		CPPUNIT_ASSERT_EQUAL(7U, read_back(look_request{k_request, 7}).versions);
-		CPPUNIT_ASSERT(read_back(look_answer{k_request, true}).granted);
-		CPPUNIT_ASSERT(k_request == read_back(served_report{k_request}).request);
-		CPPUNIT_ASSERT(k_request == read_back(look_returned{k_request}).request);
+		CPPUNIT_ASSERT_EQUAL(7U, read_back(trial_request{k_request, 7}).versions);
+		CPPUNIT_ASSERT(read_back(trial_response{k_request, true}).granted);
+		CPPUNIT_ASSERT(k_request == read_back(success_report{k_request}).request);
+		CPPUNIT_ASSERT(k_request == read_back(trial_unused{k_request}).request);
 	}
 
 	void bytes_that_are_absurd_are_refused()
--- a/tests/limit_model_test.cpp
+++ b/tests/limit_model_test.cpp
@@ -36,7 +36,7 @@
 constexpr ms k_work{200}; ///< Run time of a request at the backend server.
 
 /// Divides a limit between nodes without lending tokens.
-class local_limits : public limit_gate_base
+class local_limits : public limit_admission_base
 {
 public:
 	/// @param[in] _single_sender Whether one node sends all requests; otherwise each has the same share.
@@ -58,7 +58,7 @@
 	void give_back(const backend_state&) override
 	{
 	}
-	void on_word(backend_server& _backend, const limit_report& _limit) override
+	void on_limit_report(backend_server& _backend, const limit_report& _limit) override
 	{
 		_backend.limit.hear(_limit);
 	}
@@ -212,7 +212,7 @@
 	{
 		std::unique_ptr<model_view> view;
 		std::unique_ptr<backend_registry> backends;
-		std::unique_ptr<limit_gate_base> gate;
+		std::unique_ptr<limit_admission_base> gate;
 		backend_limits* lent = nullptr; ///< The gate, when the strategy is lent_tokens.
 		bool cut = false;               ///< Partitioned from all other nodes.
 		bool dead = false;
@@ -325,7 +325,7 @@
 		{
 			node.known_since = m_clock.steady();
 		}
-		node.gate->on_word(state_at(_node), {_reported, m_clock.steady()});
+		node.gate->on_limit_report(state_at(_node), {_reported, m_clock.steady()});
 	}
 
 	void send(int _from, int _to, const std::vector<std::uint8_t>& _bytes)
--- a/tests/quota_model_test.cpp
+++ b/tests/quota_model_test.cpp
@@ -41,7 +41,7 @@
 };
 
 /// Each node has the same share of the limit, regardless of its number of requests.
-class fixed_share_quotas : public quota_gate_base
+class fixed_share_quotas : public quota_admission_base
 {
 public:
 	fixed_share_quotas(const clock_base& _clock, double _nodes) : m_clock(_clock), m_nodes(_nodes)
@@ -277,7 +277,7 @@
 	struct model_node
 	{
 		std::unique_ptr<model_view> view;
-		std::unique_ptr<quota_gate_base> gate;
+		std::unique_ptr<quota_admission_base> gate;
 		customer_quotas* lent = nullptr; ///< The gate, when the strategy is lent_tokens.
 		bool cut = false;                ///< Partitioned from all other nodes.
 		steady_time cut_at{};
--- a/tests/state_replica_test.cpp
+++ b/tests/state_replica_test.cpp
@@ -617,14 +617,14 @@
 		changes.after = 1;
 		changes.batch.puts = {item("routes", std::string(5000, '1'), 2), item("backend/b1", "draining", 3)};
 		changes.batch.store_revision = 3;
-		CPPUNIT_ASSERT(take_out_if_large(changes.batch, "routes"));
+		CPPUNIT_ASSERT(remove_if_oversized(changes.batch, "routes"));
 		for (const store_changes& part : split_for_datagrams(changes))
 		{
 			CPPUNIT_ASSERT(m_replica->apply(part));
 		}
 		CPPUNIT_ASSERT(m_registry->find(backend_id("b1"))->registered.draining);
 		CPPUNIT_ASSERT_EQUAL(std::int64_t(3), m_replica->revision());
-		CPPUNIT_ASSERT(!take_out_if_large(changes.batch, "routes"));
+		CPPUNIT_ASSERT(!remove_if_oversized(changes.batch, "routes"));
 	}
 
 	void routes_missed_are_sent_although_all_other_changes_are_known()
@@ -739,7 +739,7 @@
 		CPPUNIT_ASSERT(m_registry->own_in_flight().empty());
 		for (const backend_ptr& backend : {busy, busy, other})
 		{
-			m_registry->note_sent(*backend);
+			m_registry->mark_in_use(*backend);
 			++backend->load.in_flight;
 		}
 		CPPUNIT_ASSERT_EQUAL(std::size_t(2), m_registry->own_in_flight().size());
