--- a/src/entry_node/entry_node.cpp
+++ b/src/entry_node/entry_node.cpp
@@ -26,7 +26,7 @@
 /// more memory under abuse. Lower: look-ups of a large region are refused.
 constexpr std::size_t k_other_connections = 256;
 /// Minimum number of descriptors that are divided, however few the settings permit.
-constexpr int k_least_descriptors = 64;
+constexpr int k_min_shared_descriptors = 64;
 
 /// Maximum interval between two ticks in milliseconds, however long the heartbeat interval is. Longer: shares
 /// and vanished backend servers are updated later. Shorter: more processor time in large fleets.
@@ -58,7 +58,7 @@
 
 std::size_t caller_connections(const entry_settings& _settings)
 {
-	const int free = std::max(k_least_descriptors, _settings.max_descriptors - k_reserved_descriptors);
+	const int free = std::max(k_min_shared_descriptors, _settings.max_descriptors - k_reserved_descriptors);
 	return static_cast<std::size_t>(k_caller_descriptors * free);
 }
 } // namespace
--- a/src/entry_node/entry_node_answers.cpp
+++ b/src/entry_node/entry_node_answers.cpp
@@ -22,7 +22,7 @@
     const std::shared_ptr<caller_session>& _session, const caller_request& _request)
 {
 	const std::string target(_request.target());
-	const std::optional<lookup_question> query = m_dialect.parse_lookup(target);
+	const std::optional<lookup_query> query = m_dialect.parse_lookup(target);
 	if (!query)
 	{
 		_session->respond(caller_response(http::status::not_found, 11));
--- a/src/entry_node/entry_node_copies.cpp
+++ b/src/entry_node/entry_node_copies.cpp
@@ -71,7 +71,7 @@
 	const std::string after = *m_replica.copy_position();
 	const std::string target = "/state?behind=" + hex_of(after);
 	result<http_response> reply =
-	    m_peer_caller.call(where, make_request(http::verb::get, target, where), k_learn_timeout, _yield);
+	    m_peer_caller.call(where, make_request(http::verb::get, target, where), k_peer_fetch_timeout, _yield);
 	const http_response* response = value_of(reply);
 	if (nullptr != response && http::status::service_unavailable == response->result())
 	{
--- a/src/entry_node/entry_node_p.h
+++ b/src/entry_node/entry_node_p.h
@@ -23,10 +23,10 @@
 {
 /// Timeout in milliseconds of a request for changes or for one page to another node. Longer: a dead node
 /// delays the request to the next one. Shorter: a page from another region over a full link times out.
-constexpr std::chrono::milliseconds k_learn_timeout{1000};
+constexpr std::chrono::milliseconds k_peer_fetch_timeout{1000};
 
 /// Look-up of a caller: which entry nodes take requests for a host?
-struct lookup_question
+struct lookup_query
 {
 	std::string host;
 	std::string region; ///< Region of the caller.
@@ -41,7 +41,7 @@
 	virtual header_names headers() const = 0;
 	virtual const record_codec_base& codec() const = 0;
 	/// @returns The look-up in a request target, or nothing when the target is not a look-up.
-	virtual std::optional<lookup_question> parse_lookup(const std::string& _target) const = 0;
+	virtual std::optional<lookup_query> parse_lookup(const std::string& _target) const = 0;
 	/// @returns Response body of a look-up.
 	virtual std::string render_lookup(
 	    const std::vector<std::string>& _addresses, std::chrono::milliseconds _ttl) const = 0;
--- a/src/entry_node/entry_node_peers.cpp
+++ b/src/entry_node/entry_node_peers.cpp
@@ -20,7 +20,7 @@
 /// Maximum size in bytes of a configuration that is fetched from another node first. Higher: a reader serves
 /// larger configurations to a third of its region over a link of 20 Mbit/s (16 KiB to 33 nodes take 0.2 s).
 /// Lower: each node calls the store. A configuration of 20 routes has 5 KB.
-constexpr std::size_t k_routes_of_peers = 16384;
+constexpr std::size_t k_max_peer_routes_bytes = 16384;
 /// Maximum size of decompressed changes in bytes; a configuration of 100,000 routes fits.
 constexpr std::size_t k_max_changes_bytes = 128U << 20U;
 /// Revision higher than that of any configuration: the response then omits the configuration.
@@ -106,7 +106,7 @@
 		if (contact_reply::none != due)
 		{
 			refresh_heartbeat();
-			send_datagram(encode(m_fleet.greet(due, one->domain)), one->ip);
+			send_datagram(encode(m_fleet.unscheduled_heartbeat(due, one->domain)), one->ip);
 		}
 		m_replica.tick();
 		fetch_from_peers();
@@ -133,7 +133,7 @@
 	{
 		send_datagram(bytes, ip);
 	}
-	m_fleet.hear_digest(*digest);
+	m_fleet.on_digest(*digest);
 	fetch_from_peers();
 }
 
@@ -205,7 +205,7 @@
 void entry_node::send_heartbeat_to(const std::vector<std::string>& _addresses)
 {
 	refresh_heartbeat();
-	const std::vector<std::uint8_t> bytes = encode(m_fleet.greet(contact_reply::heartbeat));
+	const std::vector<std::uint8_t> bytes = encode(m_fleet.unscheduled_heartbeat(contact_reply::heartbeat));
 	for (const std::string& ip : _addresses)
 	{
 		send_datagram(bytes, ip);
@@ -310,7 +310,7 @@
 
 void entry_node::fetch_missed_routes()
 {
-	if (m_fetching_routes || nullptr == m_fleet.newer_routes(routes_version()))
+	if (m_fetching_routes || nullptr == m_fleet.peer_with_newer_routes(routes_version()))
 	{
 		return;
 	}
@@ -335,9 +335,9 @@
 
 void entry_node::fetch_routes(const yield_context& _yield)
 {
-	fetch_routes_from_peer(k_routes_of_peers, _yield);
+	fetch_routes_from_peer(k_max_peer_routes_bytes, _yield);
 	// A large configuration is read from the store if it is reachable: the links of nodes are narrow.
-	if (0 == m_sync.health().failures && nullptr != m_fleet.newer_routes(routes_version()))
+	if (0 == m_sync.health().failures && nullptr != m_fleet.peer_with_newer_routes(routes_version()))
 	{
 		m_sync.read_routes(_yield);
 	}
@@ -346,7 +346,7 @@
 
 void entry_node::fetch_routes_from_peer(std::size_t _max_bytes, const yield_context& _yield)
 {
-	if (const node_heartbeat* newer = m_fleet.newer_routes(routes_version()))
+	if (const node_heartbeat* newer = m_fleet.peer_with_newer_routes(routes_version()))
 	{
 		fetch_changes(std::string(newer->ip), m_replica.routes_revision(), _max_bytes, _yield);
 	}
@@ -365,7 +365,7 @@
 	                           "&routes=" + std::to_string(_routes_revision) +
 	                           "&most_routes=" + std::to_string(_max_routes_bytes) + "&pages=1";
 	result<http_response> reply =
-	    m_peer_caller.call(where, make_request(http::verb::get, target, where), k_learn_timeout, _yield);
+	    m_peer_caller.call(where, make_request(http::verb::get, target, where), k_peer_fetch_timeout, _yield);
 	const http_response* response = value_of(reply);
 	if (nullptr != response && http::status::gone == response->result() && !m_replica.copy_position())
 	{
--- a/src/entry_node/fleet.cpp
+++ b/src/entry_node/fleet.cpp
@@ -13,7 +13,7 @@
 {
 /// Maximum number of addresses in one heartbeat. Higher: larger datagrams. Lower: a new node discovers the
 /// others later; they discover it by its first heartbeat.
-constexpr std::size_t k_told_addresses = 64;
+constexpr std::size_t k_max_listed_addresses = 64;
 
 /// Number of addresses of other failure domains among them when digests describe these. Higher: each node of
 /// a large failure domain sends heartbeats to more of them, which digests are meant to avoid. Lower: possibly
@@ -22,7 +22,7 @@
 
 std::size_t listed_addresses(std::size_t _known)
 {
-	return std::min(_known, k_told_addresses);
+	return std::min(_known, k_max_listed_addresses);
 }
 } // namespace
 
@@ -295,7 +295,7 @@
 	return addresses;
 }
 
-node_heartbeat fleet::greet(contact_reply _greeting, const domain_name& _for)
+node_heartbeat fleet::unscheduled_heartbeat(contact_reply _greeting, const domain_name& _for)
 {
 	++m_self.sequence;
 	m_self.neighbours.clear();
--- a/src/entry_node/fleet_answers.cpp
+++ b/src/entry_node/fleet_answers.cpp
@@ -119,7 +119,7 @@
 	return peer;
 }
 
-const node_heartbeat* fleet::newer_routes(std::uint64_t _config_version) const
+const node_heartbeat* fleet::peer_with_newer_routes(std::uint64_t _config_version) const
 {
 	if (m_highest_config <= _config_version)
 	{
--- a/src/entry_node/fleet_digests.cpp
+++ b/src/entry_node/fleet_digests.cpp
@@ -10,7 +10,7 @@
 
 namespace larkrack
 {
-void fleet::hear_digest(const domain_digest& _digest)
+void fleet::on_digest(const domain_digest& _digest)
 {
 	if (_digest.domain == m_self.domain)
 	{
--- a/src/entry_node/fleet_p.h
+++ b/src/entry_node/fleet_p.h
@@ -76,7 +76,7 @@
 	/// @returns The heartbeat that this node sends back at once, if any.
 	contact_reply hear(const node_heartbeat& _heartbeat);
 	/// Applies a digest of the nodes of another failure domain.
-	void hear_digest(const domain_digest& _digest);
+	void on_digest(const domain_digest& _digest);
 	/// @returns Addresses to which this node relays a digest received from _sender_ip; usually none.
 	std::vector<std::string> relay_addresses(
 	    const domain_digest& _digest, const std::string& _sender_ip) const;
@@ -95,7 +95,7 @@
 	/// @returns A heartbeat of this node outside of the rounds, for a node that is new here or as an
 	/// announcement. Do not call it with greeting::none.
 	/// @param[in] _for Failure domain of the receiver; empty: several receivers.
-	node_heartbeat greet(contact_reply _greeting, const domain_name& _for = {});
+	node_heartbeat unscheduled_heartbeat(contact_reply _greeting, const domain_name& _for = {});
 	/// @returns Whether this node is to keep itself registered in the store.
 	bool registers() const;
 	/// @param[in] _homes Home regions of the host that the callers request.
@@ -123,7 +123,7 @@
 	const node_heartbeat* peer_with_newer_keys(std::int64_t _store_revision) const;
 	/// @returns A live node that has a newer version of the configuration than the given one, or null.
 	/// Iterates over all nodes only if one of them may have a newer version.
-	const node_heartbeat* newer_routes(std::uint64_t _config_version) const;
+	const node_heartbeat* peer_with_newer_routes(std::uint64_t _config_version) const;
 	/// @param[out] _view Receives whether a live node of this failure domain, of this region or of any region
 	/// has the store's keys, and how many nodes of this failure domain that lack them rank before this node.
 	void fill_copy_view(copy_view& _view) const;
--- a/src/entry_node/state_replica.cpp
+++ b/src/entry_node/state_replica.cpp
@@ -15,7 +15,7 @@
 /// Minimum number of recent deletes kept for other nodes. If there are more keys than this, as many deletes
 /// as keys are kept, so that a node that missed the replacement of all keys can still be sent changes.
 /// Higher: more memory. Lower: a node that was away for long needs a full copy instead of changes.
-constexpr std::size_t k_known_deletes = 256;
+constexpr std::size_t k_min_recorded_deletes = 256;
 /// Minimum interval in seconds between two log lines about undecodable registry entries. Shorter: one faulty
 /// writer fills the log. Not a tuning value.
 constexpr std::chrono::seconds k_rejection_log_interval{60};
@@ -329,7 +329,7 @@
 	m_deletes.push_back(_deletion);
 	std::int64_t& revision = m_deleted_at[_deletion.key];
 	revision = std::max(revision, _deletion.mod_revision);
-	if (m_deletes.size() <= std::max(k_known_deletes, m_values.size()))
+	if (m_deletes.size() <= std::max(k_min_recorded_deletes, m_values.size()))
 	{
 		return;
 	}
--- a/tests/crash_model_test.cpp
+++ b/tests/crash_model_test.cpp
@@ -435,7 +435,7 @@
 				reachable.push_back(i);
 			}
 		}
-		_node.view->set_seen(reachable);
+		_node.view->set_visible_nodes(reachable);
 	}
 
 	crash_strategy m_strategy;
--- a/tests/fleet_model_test.cpp
+++ b/tests/fleet_model_test.cpp
@@ -75,7 +75,8 @@
 	{
 		node& peer = m_nodes.at(ip_of(_node));
 		peer.view->self().state = node_state::stopping;
-		const auto last = std::make_shared<const node_heartbeat>(peer.view->greet(contact_reply::heartbeat));
+		const auto last = std::make_shared<const node_heartbeat>(
+		    peer.view->unscheduled_heartbeat(contact_reply::heartbeat));
 		for (const std::string& ip : peer.view->region_addresses())
 		{
 			send(last, ip);
@@ -241,7 +242,7 @@
 		{
 			send({ip, _to.view->self().ip, nullptr, _datagram.digest});
 		}
-		_to.view->hear_digest(*_datagram.digest);
+		_to.view->on_digest(*_datagram.digest);
 	}
 
 	void deliver()
@@ -263,7 +264,7 @@
 				if (contact_reply::none != reply)
 				{
 					send(std::make_shared<const node_heartbeat>(
-					         to.view->greet(reply, delivered.heartbeat->domain)),
+					         to.view->unscheduled_heartbeat(reply, delivered.heartbeat->domain)),
 					    delivered.heartbeat->ip);
 				}
 			}
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -323,7 +323,7 @@
 		CPPUNIT_ASSERT(contact_reply::heartbeat == view.hear(updated));
 		CPPUNIT_ASSERT(
 		    contact_reply::heartbeat == view_of("n1", 0).hear(new_node)); // There are no addresses to send.
-		CPPUNIT_ASSERT(view.greet(contact_reply::heartbeat).known_ips.empty());
+		CPPUNIT_ASSERT(view.unscheduled_heartbeat(contact_reply::heartbeat).known_ips.empty());
 	}
 
 	void addresses_listed_in_a_large_fleet_rotate_through_all()
@@ -332,7 +332,8 @@
 		std::set<std::string> listed;
 		for (int i = 0; i < 9; ++i)
 		{
-			const std::vector<std::string> some = view.greet(contact_reply::introduction).known_ips;
+			const std::vector<std::string> some =
+			    view.unscheduled_heartbeat(contact_reply::introduction).known_ips;
 			CPPUNIT_ASSERT_EQUAL(std::size_t(64), some.size());
 			listed.insert(some.begin(), some.end());
 		}
@@ -475,10 +476,10 @@
 		updated.sequence = 2;
 		updated.config_version = 7;
 		view.hear(updated);
-		CPPUNIT_ASSERT(nullptr == view.newer_routes(7));
-		CPPUNIT_ASSERT(node_name("n2") == view.newer_routes(6)->node);
+		CPPUNIT_ASSERT(nullptr == view.peer_with_newer_routes(7));
+		CPPUNIT_ASSERT(node_name("n2") == view.peer_with_newer_routes(6)->node);
 		m_clock.advance(std::chrono::seconds(2));
-		CPPUNIT_ASSERT(nullptr == view.newer_routes(6));
+		CPPUNIT_ASSERT(nullptr == view.peer_with_newer_routes(6));
 	}
 
 	void node_restarted_in_another_failure_domain_counts_there()
@@ -552,7 +553,7 @@
 	void digest_of_another_failure_domain_makes_its_nodes_known()
 	{
 		fleet view = view_of_large_domain();
-		view.hear_digest(west_digest(std::chrono::milliseconds(1000)));
+		view.on_digest(west_digest(std::chrono::milliseconds(1000)));
 		CPPUNIT_ASSERT_EQUAL(std::size_t(79 + 16), view.members().size());
 		CPPUNIT_ASSERT_EQUAL(std::size_t(16), view.look_up(region_name("west"), {}).addresses.size());
 		CPPUNIT_ASSERT(nullptr != view.peer_with_newer_keys(12344));
@@ -562,11 +563,11 @@
 		domain_digest older = west_digest(std::chrono::milliseconds(0));
 		older.rows[0].last.sequence = 1;
 		older.rows[0].last.state = node_state::stopping;
-		view.hear_digest(older);
+		view.on_digest(older);
 		CPPUNIT_ASSERT(node_state::ready == state_of(view, "n200"));
 		domain_digest own = west_digest(std::chrono::milliseconds(0));
 		own.domain = domain_name("east-a");
-		view.hear_digest(own);
+		view.on_digest(own);
 		CPPUNIT_ASSERT_EQUAL(std::size_t(79 + 16), view.members().size());
 		m_clock.advance(std::chrono::seconds(20));
 		CPPUNIT_ASSERT(!view.is_live(node_name("n200")));
--- a/tests/limit_model_test.cpp
+++ b/tests/limit_model_test.cpp
@@ -422,7 +422,7 @@
 				reachable.push_back(i);
 			}
 		}
-		view.set_seen(reachable);
+		view.set_visible_nodes(reachable);
 		if (nullptr != _node.lent && !_node.frozen && !_node.dead)
 		{
 			_node.lent->tick();
--- a/tests/model_view.h
+++ b/tests/model_view.h
@@ -26,12 +26,13 @@
 	return "n" + std::to_string(_node);
 }
 
-/// Fleet view computed from the nodes last passed to set_seen(). The address of a node is its number.
+/// Fleet view computed from the nodes last passed to set_visible_nodes(). The address of a node is its
+/// number.
 class model_view : public fleet_view_base
 {
 public:
 	/// Sets the visible nodes, including this node.
-	void set_seen(const std::vector<int>& _nodes)
+	void set_visible_nodes(const std::vector<int>& _nodes)
 	{
 		m_all = {_nodes, {}, false};
 		m_by_region.clear();
--- a/tests/quota_model_test.cpp
+++ b/tests/quota_model_test.cpp
@@ -302,7 +302,7 @@
 				reachable.push_back(i);
 			}
 		}
-		view.set_seen(reachable);
+		view.set_visible_nodes(reachable);
 		if (nullptr != _node.lent)
 		{
 			_node.lent->tick();
--- a/tests/state_replica_test.cpp
+++ b/tests/state_replica_test.cpp
@@ -129,7 +129,7 @@
 	CPPUNIT_TEST(changes_split_and_joined_are_unchanged);
 	CPPUNIT_TEST(changes_split_part_has_only_deletes_of_its_revisions);
 	CPPUNIT_TEST(changes_with_a_large_value_are_not_split);
-	CPPUNIT_TEST(changes_beside_a_large_configuration_are_told_without_it);
+	CPPUNIT_TEST(changes_with_a_large_configuration_are_sent_without_it);
 	CPPUNIT_TEST(routes_missed_are_sent_although_all_other_changes_are_known);
 	CPPUNIT_TEST(backend_with_entry_overwritten_by_foreign_writer_is_unusable_and_removed);
 	CPPUNIT_TEST(backend_with_entry_rewritten_after_foreign_entry_stays);
@@ -610,7 +610,7 @@
 	}
 
 	/// A backend server starts to drain while a large configuration is being distributed.
-	void changes_beside_a_large_configuration_are_told_without_it()
+	void changes_with_a_large_configuration_are_sent_without_it()
 	{
 		put("backend/b1", "ready", 1);
 		store_changes changes;
