--- a/src/larkrackd/carrier.cpp
+++ b/src/larkrackd/carrier.cpp
@@ -15,13 +15,13 @@
 {
 constexpr const char* k_path_lookup = "/.larkrack/lookup";
 constexpr int k_priority_default = 5;
-constexpr int k_priority_highest = 9;
-/// Least time after which a refused caller may come back, spread by chance over twice as long: how soon
-/// callers are served after a refusal, against load of those that are refused again. Not measured.
-constexpr std::chrono::milliseconds k_come_back{250};
-/// What the cap of a shift refuses has to wait for the cap's window, so for longer by this factor. Not
-/// measured.
-constexpr int k_come_back_cap = 4;
+constexpr int k_priority_max = 9;
+/// Minimum delay before a refused caller retries; the delay is drawn from once to twice this value. Shorter
+/// serves callers sooner after a refusal and adds load from callers that are refused again.
+constexpr std::chrono::milliseconds k_min_retry_delay{250};
+/// Factor of the retry delay for requests that the cap of a shift refuses: these have to wait for the window
+/// of the cap to move on.
+constexpr int k_cap_retry_factor = 4;
 
 bool is_repeatable_method(http::verb _verb)
 {
@@ -34,7 +34,7 @@
 	return _path.size() < 2 ? std::string() : _path.substr(1, std::string::npos == end ? end : end - 1);
 }
 
-/// @returns The caller's address: by the connection, or by the header when that is trusted.
+/// @returns The caller's address: that of the connection, or that in the header when the header is trusted.
 asio::ip::address caller_of(const http_session& _session, const http_request& _request, bool _trust_header)
 {
 	asio::ip::address peer = _session.peer().address();
@@ -45,11 +45,11 @@
 	}
 	boost::system::error_code failure;
 	const auto address = asio::ip::make_address(named, failure);
-	// A header that is no address says nothing; the connection's address is right for a direct caller.
+	// A malformed header is ignored; the connection's address is the right one for a direct caller.
 	return failure ? peer : address;
 }
 
-http::status status_of(const carried_end& _end)
+http::status status_of(const proxied_result& _end)
 {
 	if (outcome::unknown == _end.result)
 	{
@@ -74,18 +74,18 @@
 }
 } // namespace
 
-carried_end refused(reason _reason, bool _may_try_again)
+proxied_result refused_result(reason _reason, bool _may_retry)
 {
-	carried_end end;
+	proxied_result end;
 	end.result = outcome::not_run;
 	end.why = _reason;
-	end.may_try_again = _may_try_again;
+	end.may_retry = _may_retry;
 	return end;
 }
 
-carried_end not_known(reason _reason)
+proxied_result unknown_result(reason _reason)
 {
-	carried_end end;
+	proxied_result end;
 	end.result = outcome::unknown;
 	end.why = _reason;
 	return end;
@@ -109,7 +109,7 @@
 		answer_lookup(_session, _request, _yield);
 		return;
 	}
-	carried call;
+	proxied_request call;
 	call.request = &_request;
 	call.origin = request_origin::caller;
 	call.id = m_id_prefix + std::to_string(++m_next_id);
@@ -118,24 +118,24 @@
 
 void carrier::handle_relay(http_session& _session, http_request& _request, const yield_context& _yield)
 {
-	carried call;
+	proxied_request call;
 	call.request = &_request;
 	call.id = header_of(_request, k_header_request_id);
 	const std::optional<request_origin> origin =
 	    read_relay_mark(m_signer, header_of(_request, k_header_relay), call.id, m_clock.wall());
 	if (!origin)
 	{
-		// The id of a request that nobody signed is not repeated to whoever sent it.
+		// The response to an unsigned request does not echo the request's id.
 		call.id.clear();
-		answer_end(_session, call, refused(reason::bad_request), _yield);
+		answer_end(_session, call, refused_result(reason::bad_request), _yield);
 		return;
 	}
 	call.origin = *origin;
-	call.way = header_of(_request, k_header_entry_vm) + ",";
+	call.entry_vm_path = header_of(_request, k_header_entry_vm) + ",";
 	handle(_session, call, _yield);
 }
 
-void carrier::handle(http_session& _session, carried& _call, const yield_context& _yield)
+void carrier::handle(http_session& _session, proxied_request& _call, const yield_context& _yield)
 {
 	const steady_time started = m_clock.steady();
 	++m_in_flight;
@@ -143,7 +143,7 @@
 	std::unique_ptr<opentracing::Span> span =
 	    m_tracer.start_hop(request_origin::caller == _call.origin ? "entry_vm" : "entry_vm_relayed",
 	        header_of(*_call.request, k_header_traceparent), _call.traceparent);
-	carried_end end = fault ? refused(*fault) : carry(_session, _call, _yield);
+	proxied_result end = fault ? refused_result(*fault) : dispatch_request(_session, _call, _yield);
 	if (!end.answered)
 	{
 		answer_end(_session, _call, end, _yield);
@@ -159,11 +159,11 @@
 	--m_in_flight;
 }
 
-std::optional<reason> carrier::fill(carried& _call, const http_session& _session)
+std::optional<reason> carrier::fill(proxied_request& _call, const http_session& _session)
 {
 	const http_request& request = *_call.request;
 	_call.view = m_board.get();
-	_call.way += m_settings.name;
+	_call.entry_vm_path += m_settings.name;
 	_call.caller = caller_of(
 	    _session, request, m_settings.trust_caller_header || request_origin::caller != _call.origin);
 	_call.service_name = header_of(request, k_header_service);
@@ -177,8 +177,8 @@
 	    is_repeatable_method(request.method()) || "1" == header_of(request, k_header_repeatable);
 	_call.repeatable = _call.repeatable && _call.key.empty();
 	const std::string priority = header_of(request, k_header_priority);
-	_call.priority = priority.empty() ? k_priority_default
-	                                  : std::clamp(std::atoi(priority.c_str()), 0, k_priority_highest);
+	_call.priority =
+	    priority.empty() ? k_priority_default : std::clamp(std::atoi(priority.c_str()), 0, k_priority_max);
 	if (!_call.view)
 	{
 		_call.service_name = "";
@@ -191,10 +191,10 @@
 		return reason::unknown_service;
 	}
 	const std::string deadline = header_of(request, k_header_deadline);
-	const auto longest = _call.view->rules->at(_call.service).deadline;
-	const auto wanted =
-	    std::chrono::milliseconds(deadline.empty() ? longest.count() : std::atoll(deadline.c_str()));
-	_call.deadline = m_clock.steady() + wanted;
+	const auto max_deadline = _call.view->rules->at(_call.service).deadline;
+	const auto requested =
+	    std::chrono::milliseconds(deadline.empty() ? max_deadline.count() : std::atoll(deadline.c_str()));
+	_call.deadline = m_clock.steady() + requested;
 	return std::nullopt;
 }
 
@@ -209,11 +209,11 @@
 	    view ? view->rules->find_service(query_value(target, "service")) : service_handle{};
 	if (!is_valid(service))
 	{
-		carried call;
+		proxied_request call;
 		call.request = &_request;
-		call.way = m_settings.name;
-		answer_end(
-		    _session, call, refused(view ? reason::unknown_service : reason::no_configuration), _yield);
+		call.entry_vm_path = m_settings.name;
+		answer_end(_session, call, refused_result(view ? reason::unknown_service : reason::no_configuration),
+		    _yield);
 		return;
 	}
 	const asio::ip::address caller = caller_of(_session, _request, m_settings.trust_caller_header);
@@ -224,17 +224,18 @@
 	_session.send(response, _yield);
 }
 
-carried_end carrier::carry(http_session& _session, carried& _call, const yield_context& _yield)
+proxied_result carrier::dispatch_request(
+    http_session& _session, proxied_request& _call, const yield_context& _yield)
 {
 	if (_call.key.empty() || request_origin::for_slot == _call.origin)
 	{
 		return serve(_session, _call, _yield);
 	}
-	return carry_keyed(_session, _call, _yield);
+	return handle_keyed(_session, _call, _yield);
 }
 
-void carrier::answer_end(
-    http_session& _session, const carried& _call, const carried_end& _end, const yield_context& _yield)
+void carrier::answer_end(http_session& _session, const proxied_request& _call, const proxied_result& _end,
+    const yield_context& _yield)
 {
 	http_response response;
 	if (outcome::served == _end.result)
@@ -254,7 +255,7 @@
 	}
 	else
 	{
-		const auto after = comes_back(_end.why);
+		const auto after = retry_delay(_end.why);
 		const nlohmann::json body = {{"outcome", to_string(_end.result)}, {"reason", to_string(_end.why)},
 		    {"retry_after_ms", after.count()}};
 		response = make_json(status_of(_end), body.dump());
@@ -263,7 +264,7 @@
 	}
 	response.set(k_header_outcome, to_string(_end.result));
 	response.set(k_header_reason, to_string(_end.why));
-	response.set(k_header_entry_vm, _call.way);
+	response.set(k_header_entry_vm, _call.entry_vm_path);
 	if (!_call.id.empty())
 	{
 		response.set(k_header_request_id, _call.id);
@@ -271,10 +272,10 @@
 	_session.send(response, _yield);
 }
 
-std::chrono::milliseconds carrier::comes_back(reason _reason)
+std::chrono::milliseconds carrier::retry_delay(reason _reason)
 {
 	const std::int64_t base =
-	    reason::cap == _reason ? k_come_back_cap * k_come_back.count() : k_come_back.count();
+	    reason::cap == _reason ? k_cap_retry_factor * k_min_retry_delay.count() : k_min_retry_delay.count();
 	return std::chrono::milliseconds(
 	    base + static_cast<std::int64_t>(m_random() % static_cast<std::uint64_t>(base)));
 }
--- a/src/larkrackd/carrier_attempts.cpp
+++ b/src/larkrackd/carrier_attempts.cpp
@@ -2,8 +2,9 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// The decisions about one request: to which entry VM each try goes, how long it waits for a slot, and when
-/// it gives up. The part of the carrier between a request and its exchanges.
+/// Attempts of one request: the entry VM that each attempt goes to, the wait for a slot, and the decision to
+/// retry or to stop. Relies on the gate for slots, on the retry token bucket for retries, and on the
+/// request's traffic_view for the headroom of entry VMs.
 #include "larkrackd/carrier_p.h"
 
 #include "larkrack/config.h"
@@ -14,25 +15,26 @@
 {
 namespace
 {
-/// Tries of one request at this entry VM: requests that a second entry VM can serve, against load from
-/// requests that nobody can. Not measured.
-constexpr int k_tries = 3;
-/// A request rather waits here for so long than goes on to another entry VM, which costs a hop. Commit
-/// 4588dde: 4.6% of requests relayed instead of 12.2%.
-constexpr std::chrono::milliseconds k_wait_rather{10};
-/// What is left of a deadline for the way back. Not measured.
-constexpr std::chrono::milliseconds k_way_back{5};
-/// Weight of a full entry VM's usable slot against a free slot of others. It still gets a few, for what is
-/// heard of it is old. Not measured.
-constexpr double k_full_weight = 1e-3;
+/// Maximum number of attempts of one request at this entry VM. More serves requests that another entry VM can
+/// serve, and adds load from requests that no entry VM can serve.
+constexpr int k_max_attempts = 3;
+/// Maximum expected wait for which a request queues here instead of being relayed, which costs a hop. With
+/// this limit 4.6% of requests were relayed instead of 12.2% (commit 4588dde).
+constexpr std::chrono::milliseconds k_max_local_wait{10};
+/// Part of the deadline that is reserved for returning the response.
+constexpr std::chrono::milliseconds k_response_reserve{5};
+/// Weight of a usable slot of a full entry VM, relative to a free slot of others. A full entry VM still gets
+/// a few requests, because its reported headroom may be outdated.
+constexpr double k_full_vm_weight = 1e-3;
 
-/// @returns Whether another try may end better. Every entry VM has the same cap.
-bool may_try_again(const carried_end& _end)
+/// @returns Whether another attempt may succeed. A refusal by the cap is final: every entry VM has the same
+/// cap.
+bool may_retry(const proxied_result& _end)
 {
-	return _end.may_try_again && reason::cap != _end.why;
+	return _end.may_retry && reason::cap != _end.why;
 }
 
-/// @returns One of the entry VMs by chance, as its weight is; none when no weight is above 0.
+/// @returns A random entry VM, with a probability proportional to its weight; invalid when all weights are 0.
 entry_vm_handle pick_weighted(const std::vector<double>& _weights, std::mt19937_64& _random)
 {
 	double sum = 0.0;
@@ -62,31 +64,31 @@
 }
 } // namespace
 
-carried_end carrier::serve(http_session& _session, carried& _call, const yield_context& _yield)
+proxied_result carrier::serve(http_session& _session, proxied_request& _call, const yield_context& _yield)
 {
 	m_budget.earn();
 	std::vector<bool> tried(_call.view->rules->entry_vms.size(), false);
 	const std::string id = _call.id;
 	bool may_have_run = false;
-	carried_end end;
-	for (int attempt = 0; attempt < k_tries; ++attempt)
+	proxied_result end;
+	for (int attempt = 0; attempt < k_max_attempts; ++attempt)
 	{
 		if (0 < attempt)
 		{
-			// A backend server that was told to cancel the former try would refuse its id.
+			// A backend server that was told to cancel the previous attempt would refuse its id.
 			_call.id = id + "." + std::to_string(attempt);
 			m_metrics.count_retry();
 		}
-		end = try_once(_session, _call, tried, _yield);
+		end = attempt_once(_session, _call, tried, _yield);
 		const bool lost = outcome::unknown == end.result && _call.repeatable && !end.answered &&
 		                  reason::lost_answer == end.why;
 		may_have_run = may_have_run || lost;
-		if (!(may_try_again(end) || lost) || request_origin::for_slot == _call.origin ||
+		if (!(may_retry(end) || lost) || request_origin::for_slot == _call.origin ||
 		    _call.deadline <= m_clock.steady())
 		{
 			break;
 		}
-		// A refusal for want of a backend server put no load on any, so the next try is not paid for.
+		// An attempt that found no backend server put no load on any, so the retry does not cost a token.
 		if (reason::no_backend != end.why && !m_budget.spend())
 		{
 			break;
@@ -94,56 +96,56 @@
 	}
 	if (may_have_run && outcome::not_run == end.result)
 	{
-		// The last try was refused, but one before it may have run.
-		end = not_known(reason::lost_answer);
+		// The last attempt was refused, but an earlier one may have run.
+		end = unknown_result(reason::lost_answer);
 	}
 	return end;
 }
 
-carried_end carrier::try_once(
-    http_session& _session, carried& _call, std::vector<bool>& _tried, const yield_context& _yield)
+proxied_result carrier::attempt_once(
+    http_session& _session, proxied_request& _call, std::vector<bool>& _tried, const yield_context& _yield)
 {
 	if (request_origin::for_slot == _call.origin)
 	{
-		return serve_here(_session, _call, k_queue_wait, _yield);
+		return serve_locally(_session, _call, k_queue_wait, _yield);
 	}
 	const region_handle region = region_for(*_call.view, _call.service, _call.caller);
 	if (!is_valid(region))
 	{
-		return refused(reason::cap, false);
+		return refused_result(reason::cap, false);
 	}
 	const entry_vm_handle self = _call.view->self;
-	const bool here = may_serve_here(_call, region) && !_tried[self.idx];
+	const bool is_local = can_serve_locally(_call, region) && !_tried[self.idx];
 	const auto wait =
-	    here ? m_gate.expected_wait(_call.service_name, m_clock.steady()) : std::chrono::microseconds(0);
+	    is_local ? m_gate.expected_wait(_call.service_name, m_clock.steady()) : std::chrono::microseconds(0);
 	const entry_vm_handle other =
-	    here && wait <= k_wait_rather ? entry_vm_handle{} : pick_other(_call, region, _tried);
+	    is_local && wait <= k_max_local_wait ? entry_vm_handle{} : pick_peer(_call, region, _tried);
 	if (!is_valid(other))
 	{
-		if (!here)
+		if (!is_local)
 		{
-			return refused(reason::no_headroom, false);
+			return refused_result(reason::no_headroom, false);
 		}
 		_tried[self.idx] = true;
-		return serve_here(_session, _call, k_queue_wait, _yield);
+		return serve_locally(_session, _call, k_queue_wait, _yield);
 	}
 	_tried[other.idx] = true;
 	return exchange_peer(_session, _call, other, request_origin::for_slot, _yield);
 }
 
-bool carrier::may_serve_here(const carried& _call, region_handle _region) const
+bool carrier::can_serve_locally(const proxied_request& _call, region_handle _region) const
 {
 	const traffic_view& view = *_call.view;
 	return is_valid(view.self) && view.region == _region && !view.stopping &&
 	       0 < view.peers[view.self.idx].rooms[_call.service.idx].usable;
 }
 
-entry_vm_handle carrier::pick_other(
-    const carried& _call, region_handle _region, const std::vector<bool>& _tried)
+entry_vm_handle carrier::pick_peer(
+    const proxied_request& _call, region_handle _region, const std::vector<bool>& _tried)
 {
 	const traffic_view& view = *_call.view;
 	std::vector<double> weights(view.peers.size(), 0.0);
-	const bool here = may_serve_here(_call, _region);
+	const bool is_local = can_serve_locally(_call, _region);
 	for (std::size_t at = 0; at < view.peers.size(); ++at)
 	{
 		const entry_vm_handle vm{static_cast<std::uint16_t>(at)};
@@ -153,17 +155,17 @@
 		const service_headroom& room = peer.rooms[_call.service.idx];
 		if (fits && 0 < room.usable)
 		{
-			weights[at] = room.free() + (here ? 0.0 : k_full_weight * room.usable);
+			weights[at] = room.free() + (is_local ? 0.0 : k_full_vm_weight * room.usable);
 		}
 	}
 	return pick_weighted(weights, m_random);
 }
 
 std::variant<ticket, reason> carrier::enter(
-    const carried& _call, std::chrono::microseconds _wait, const yield_context& _yield)
+    const proxied_request& _call, std::chrono::microseconds _wait, const yield_context& _yield)
 {
 	const steady_time now = m_clock.steady();
-	const auto wait = std::min<std::chrono::microseconds>(_wait, _call.deadline - k_way_back - now);
+	const auto wait = std::min<std::chrono::microseconds>(_wait, _call.deadline - k_response_reserve - now);
 	auto timer = std::make_shared<asio::steady_timer>(m_context, now + wait);
 	const auto wake = [timer, &context = m_context]
 	{
@@ -183,11 +185,11 @@
 	{
 		return *why;
 	}
-	const waiter_ptr& place = std::get<waiter_ptr>(admitted);
-	// Whether the timer ran out or was cancelled shows in the place.
+	const waiter_ptr& queued = std::get<waiter_ptr>(admitted);
+	// The error code does not matter: the queue entry shows whether a slot was granted.
 	boost::system::error_code ignored;
 	timer->async_wait(_yield[ignored]);
-	const std::optional<ticket> got = m_gate.give_up(place);
+	const std::optional<ticket> got = m_gate.leave_queue(queued);
 	if (got)
 	{
 		return *got;
@@ -195,17 +197,17 @@
 	return reason::no_headroom;
 }
 
-carried_end carrier::serve_here(
-    http_session& _session, carried& _call, std::chrono::microseconds _wait, const yield_context& _yield)
+proxied_result carrier::serve_locally(http_session& _session, proxied_request& _call,
+    std::chrono::microseconds _wait, const yield_context& _yield)
 {
-	if (_call.deadline <= m_clock.steady() + k_way_back)
+	if (_call.deadline <= m_clock.steady() + k_response_reserve)
 	{
-		return refused(reason::deadline, false);
+		return refused_result(reason::deadline, false);
 	}
 	const std::variant<ticket, reason> entered = enter(_call, _wait, _yield);
 	if (const reason* why = std::get_if<reason>(&entered))
 	{
-		return refused(*why);
+		return refused_result(*why);
 	}
 	return exchange_backend(_session, _call, std::get<ticket>(entered), _yield);
 }
--- a/src/larkrackd/carrier_deliver.cpp
+++ b/src/larkrackd/carrier_deliver.cpp
@@ -2,8 +2,9 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// The way of an answer back to the caller: small ones whole, large ones piece by piece while the next pieces
-/// are read ahead, so that a slow caller does not hold a slot of a backend server.
+/// Delivery of a response to the caller. Small responses are read completely and then sent; large ones are
+/// sent piece by piece while the next pieces are read ahead, so that a slow caller does not hold a slot of a
+/// backend server. Relies on carrier_upstream.cpp to release the exchange.
 #include "larkrackd/carrier_upstream_p.h"
 
 #include "larkrack/config.h"
@@ -12,33 +13,33 @@
 {
 namespace
 {
-/// Longest time for one piece of an answer. Not measured.
+/// Timeout for reading one piece of a response.
 constexpr std::chrono::seconds k_piece_timeout{20};
 
-const http::field k_hop_fields[] = {http::field::connection, http::field::keep_alive,
+const http::field k_hop_by_hop_fields[] = {http::field::connection, http::field::keep_alive,
     http::field::proxy_connection, http::field::te, http::field::trailer, http::field::transfer_encoding,
     http::field::upgrade, http::field::expect};
 } // namespace
 
-void erase_hop_fields(http::fields& _fields)
+void erase_hop_by_hop_fields(http::fields& _fields)
 {
-	for (const http::field field : k_hop_fields)
+	for (const http::field field : k_hop_by_hop_fields)
 	{
 		_fields.erase(field);
 	}
 }
 
-void carrier::set_answer_head(const carried& _call, const upstream& _up, http::fields& _fields) const
+void carrier::set_answer_head(const proxied_request& _call, const upstream& _up, http::fields& _fields) const
 {
-	erase_hop_fields(_fields);
+	erase_hop_by_hop_fields(_fields);
 	_fields.set(k_header_outcome, to_string(outcome::served));
-	_fields.set(k_header_entry_vm, _call.way);
+	_fields.set(k_header_entry_vm, _call.entry_vm_path);
 	_fields.set(k_header_backend, _up.backend);
 	_fields.set(k_header_request_id, _call.id);
 }
 
-void carrier::deliver(http_session& _session, const carried& _call, const std::shared_ptr<upstream>& _up,
-    carried_end& _end, const yield_context& _yield)
+void carrier::deliver(http_session& _session, const proxied_request& _call,
+    const std::shared_ptr<upstream>& _up, proxied_result& _end, const yield_context& _yield)
 {
 	const auto& head = _up->parser.get();
 	_end.answered = true;
@@ -58,8 +59,8 @@
 	abandon(_up);
 }
 
-void carrier::deliver_small(http_session& _session, const carried& _call, upstream& _up, carried_end& _end,
-    const yield_context& _yield)
+void carrier::deliver_small(http_session& _session, const proxied_request& _call, upstream& _up,
+    proxied_result& _end, const yield_context& _yield)
 {
 	std::string body(_up.parser.is_done() ? 0 : _up.parser.content_length().value_or(0), '\0');
 	beast::error_code failure;
@@ -71,14 +72,15 @@
 	}
 	if (failure || !_up.parser.is_done())
 	{
-		// Nothing was sent on yet, so the caller gets a clear answer instead of a part.
-		_end = not_known(reason::lost_answer);
+		// Nothing was sent to the caller yet, so the caller gets an error response instead of a truncated
+		// one.
+		_end = unknown_result(reason::lost_answer);
 		return;
 	}
 	http_response response(_up.parser.get().result(), 11);
 	static_cast<http::fields&>(response.base()) = _up.parser.get().base();
 	set_answer_head(_call, _up, response.base());
-	finish(_up, exchange_end::whole);
+	finish(_up, exchange_status::completed);
 	if (http::verb::head == _call.request->method())
 	{
 		_session.send_head_only(response, _yield);
@@ -124,7 +126,7 @@
 	_queue->failed = !_queue->done;
 	if (_queue->done)
 	{
-		finish(*_up, exchange_end::whole);
+		finish(*_up, exchange_status::completed);
 	}
 	else
 	{
@@ -158,7 +160,7 @@
 	return open;
 }
 
-void carrier::deliver_large(http_session& _session, const carried& _call,
+void carrier::deliver_large(http_session& _session, const proxied_request& _call,
     const std::shared_ptr<upstream>& _up, const yield_context& _yield)
 {
 	http::response<http::buffer_body> head(_up->parser.get().result(), 11);
@@ -179,7 +181,8 @@
 	const bool open = send_pieces(_session, head, *queue, _yield);
 	if (!open || queue->failed)
 	{
-		// A part was sent: closing is the only way to tell the caller that it is not whole.
+		// The caller already got a part of the response; closing the connection is the only way to signal
+		// that the response is incomplete.
 		_session.close();
 		if (_up->connection)
 		{
--- a/src/larkrackd/carrier_keyed.cpp
+++ b/src/larkrackd/carrier_keyed.cpp
@@ -2,9 +2,10 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Requests with a key run at most once: the entry VM that the key's grant names, or the one that the key
-/// hashes to, remembers what became of it. The part of the carrier that finds this entry VM and asks its
-/// memory.
+/// Requests with an idempotency key, which run at most once: the entry VM that the grant in the key names, or
+/// to which a key without a grant hashes, stores the result of the key. This file locates that entry VM and
+/// relays the request to it, or runs the request here. Relies on key_table for stored results and on
+/// relay_mark for the signature of relayed requests.
 #include "larkrackd/carrier_p.h"
 
 #include "larkrack/config.h"
@@ -13,32 +14,33 @@
 {
 namespace
 {
-/// @returns The end of a request whose key nobody remembers any more. What an earlier try with this key may
-/// have done is not known here, unless the caller says there was none.
-carried_end without_memory(const carried& _call, reason _reason)
+/// @returns The result of a request whose key is no longer stored anywhere. The outcome of an earlier attempt
+/// is unknown, unless the caller declares that this is the first attempt.
+proxied_result key_lost_result(const proxied_request& _call, reason _reason)
 {
-	return _call.first_try ? refused(_reason, false) : not_known(_reason);
+	return _call.first_try ? refused_result(_reason, false) : unknown_result(_reason);
 }
 
-/// @returns Whether this entry VM's memory holds every earlier try with the key.
-bool remembers(const carried& _call, incarnation _life_of_key, wall_time _now)
+/// @returns Whether the key table of this entry VM contains every earlier attempt with the key.
+bool has_all_attempts(const proxied_request& _call, incarnation _key_incarnation, wall_time _now)
 {
 	const traffic_view& view = *_call.view;
 	if (is_granted_key(_call.key))
 	{
-		return _life_of_key == view.life;
+		return _key_incarnation == view.life;
 	}
-	// A bare key may have been run by a former process here, until the longest life of a key is over.
+	// An earlier incarnation of this entry VM may have run a key without a grant. Such a key has expired once
+	// this incarnation is older than the maximum lifetime of a key.
 	const auto key_life = static_cast<std::uint64_t>(std::chrono::microseconds(k_grant_life).count());
 	const bool old_enough = view.life.value + key_life < static_cast<std::uint64_t>(to_us(_now));
 	return view.first_life || _call.first_try || old_enough;
 }
 } // namespace
 
-std::variant<carrier::key_place, carried_end> carrier::place_of_key(const carried& _call) const
+std::variant<carrier::key_location, proxied_result> carrier::locate_key(const proxied_request& _call) const
 {
 	const policy& rules = *_call.view->rules;
-	key_place place;
+	key_location place;
 	if (!is_granted_key(_call.key))
 	{
 		place.owner = key_owner(rules, _call.key);
@@ -50,12 +52,12 @@
 	const grant* given = value_of(read);
 	if (nullptr == given || given->service != _call.service_name)
 	{
-		return refused(reason::bad_grant, false);
+		return refused_result(reason::bad_grant, false);
 	}
 	const auto left = given->expires - m_clock.wall();
 	if (left <= std::chrono::microseconds(0))
 	{
-		return without_memory(_call, reason::bad_grant);
+		return key_lost_result(_call, reason::bad_grant);
 	}
 	place.owner = rules.find_entry_vm(given->entry_vm);
 	place.life = given->life;
@@ -63,46 +65,47 @@
 	return place;
 }
 
-carried_end carrier::carry_keyed(http_session& _session, carried& _call, const yield_context& _yield)
+proxied_result carrier::handle_keyed(
+    http_session& _session, proxied_request& _call, const yield_context& _yield)
 {
-	const std::variant<key_place, carried_end> found = place_of_key(_call);
-	if (const carried_end* end = std::get_if<carried_end>(&found))
+	const std::variant<key_location, proxied_result> found = locate_key(_call);
+	if (const proxied_result* end = std::get_if<proxied_result>(&found))
 	{
 		return *end;
 	}
-	const key_place& place = std::get<key_place>(found);
+	const key_location& place = std::get<key_location>(found);
 	if (!is_valid(place.owner))
 	{
-		return without_memory(_call, reason::owner_gone);
+		return key_lost_result(_call, reason::owner_gone);
 	}
 	if (place.owner == _call.view->self)
 	{
-		if (!remembers(_call, place.life, m_clock.wall()))
+		if (!has_all_attempts(_call, place.life, m_clock.wall()))
 		{
-			return without_memory(_call, reason::owner_gone);
+			return key_lost_result(_call, reason::owner_gone);
 		}
-		return run_keyed(_session, _call, place.forget_at, _yield);
+		return run_once(_session, _call, place.forget_at, _yield);
 	}
 	if (request_origin::for_key == _call.origin)
 	{
-		return without_memory(_call, reason::owner_gone);
+		return key_lost_result(_call, reason::owner_gone);
 	}
-	carried_end end = exchange_peer(_session, _call, place.owner, request_origin::for_key, _yield);
+	proxied_result end = exchange_peer(_session, _call, place.owner, request_origin::for_key, _yield);
 	if (outcome::not_run == end.result && reason::unreachable == end.why)
 	{
-		return without_memory(_call, reason::owner_gone);
+		return key_lost_result(_call, reason::owner_gone);
 	}
 	return end;
 }
 
-carried_end carrier::run_keyed(
-    http_session& _session, carried& _call, steady_time _forget_at, const yield_context& _yield)
+proxied_result carrier::run_once(
+    http_session& _session, proxied_request& _call, steady_time _forget_at, const yield_context& _yield)
 {
 	auto timer = std::make_shared<asio::steady_timer>(m_context, _call.deadline);
-	auto answer = std::make_shared<kept_ptr>();
-	const key_verdict verdict = m_keys.begin(
+	auto answer = std::make_shared<kept_answer_ptr>();
+	const key_decision decision = m_keys.begin(
 	    _call.key, _forget_at,
-	    [timer, answer, &context = m_context](const kept_ptr& _answer)
+	    [timer, answer, &context = m_context](const kept_answer_ptr& _answer)
 	    {
 		    asio::post(context,
 		        [timer, answer, _answer]
@@ -112,19 +115,19 @@
 		        });
 	    },
 	    m_clock.steady());
-	switch (verdict.does)
+	switch (decision.next)
 	{
-	case key_verdict::what::full:
-		return refused(reason::no_headroom, false);
-	case key_verdict::what::wait:
+	case key_decision::action::full:
+		return refused_result(reason::no_headroom, false);
+	case key_decision::action::wait:
 		return wait_for_key(answer, timer, _yield);
-	case key_verdict::what::kept:
-		*answer = verdict.answer;
+	case key_decision::action::kept:
+		*answer = decision.answer;
 		return wait_for_key(answer, nullptr, _yield);
-	case key_verdict::what::run:
+	case key_decision::action::run:
 		break;
 	}
-	carried_end end = serve(_session, _call, _yield);
+	proxied_result end = serve(_session, _call, _yield);
 	kept_answer kept;
 	kept.result = end.result;
 	kept.why = end.why;
@@ -137,21 +140,21 @@
 	return end;
 }
 
-carried_end carrier::wait_for_key(const std::shared_ptr<kept_ptr>& _answer,
+proxied_result carrier::wait_for_key(const std::shared_ptr<kept_answer_ptr>& _answer,
     const std::shared_ptr<asio::steady_timer>& _timer, const yield_context& _yield)
 {
 	if (_timer && !*_answer)
 	{
-		// Whether the timer ran out or was cancelled shows in the answer.
+		// The error code does not matter: *_answer shows whether the answer arrived before the deadline.
 		boost::system::error_code ignored;
 		_timer->async_wait(_yield[ignored]);
 	}
 	if (!*_answer)
 	{
-		return not_known(reason::in_flight_too_long);
+		return unknown_result(reason::in_flight_too_long);
 	}
 	const kept_answer& kept = **_answer;
-	carried_end end;
+	proxied_result end;
 	end.result = kept.result;
 	end.why = kept.why;
 	end.status = kept.status;
--- a/src/larkrackd/carrier_upstream.cpp
+++ b/src/larkrackd/carrier_upstream.cpp
@@ -11,20 +11,21 @@
 {
 namespace
 {
-/// Longest time to open a connection: how soon a dead neighbour is known, against one that is far or busy.
-/// Not measured.
+/// Timeout for opening a connection. Shorter detects an unreachable peer sooner; longer tolerates distant or
+/// busy peers.
 constexpr std::chrono::milliseconds k_connect_timeout{300};
-/// A pooled connection that idled longer may have been closed by the other side just now, which costs a
-/// repeatable request a try and any other its certainty. Not measured.
-constexpr std::chrono::milliseconds k_idle_repeatable{10000};
-constexpr std::chrono::milliseconds k_idle_careful{1000};
-/// Longest time for a backend server to confirm that a run is cancelled; later its slot waits for the
-/// deadline. Not measured.
+/// Maximum idle time of pooled connections, for repeatable and for other requests. A connection that was idle
+/// for longer may just have been closed by the other side; this costs a repeatable request an attempt, and
+/// makes the outcome of any other request unknown.
+constexpr std::chrono::milliseconds k_max_idle_repeatable{10000};
+constexpr std::chrono::milliseconds k_max_idle_other{1000};
+/// Timeout for a backend server to confirm a cancellation. Without confirmation the slot stays taken until
+/// the run's deadline.
 constexpr std::chrono::milliseconds k_cancel_timeout{500};
-/// An entry VM answers a little after the deadline that it was given. Not measured.
-constexpr std::chrono::milliseconds k_peer_patience{50};
+/// Added to the deadline of a relayed request: an entry VM answers a little after the deadline that it got.
+constexpr std::chrono::milliseconds k_peer_deadline_margin{50};
 
-reason reason_from(const std::string& _text)
+reason parse_reason(const std::string& _text)
 {
 	for (int at = 0; at <= static_cast<int>(reason::bad_request); ++at)
 	{
@@ -38,10 +39,10 @@
 } // namespace
 
 http_request carrier::make_backend_request(
-    const carried& _call, const gate_backend& _backend, wall_time _expires) const
+    const proxied_request& _call, const gate_backend& _backend, wall_time _expires) const
 {
 	http_request out(*_call.request);
-	erase_hop_fields(out);
+	erase_hop_by_hop_fields(out);
 	out.erase(k_header_relay);
 	out.erase(k_header_caller);
 	out.set(http::field::host, to_string(_backend.grant.address));
@@ -57,14 +58,14 @@
 }
 
 http_request carrier::make_peer_request(
-    const carried& _call, const endpoint& _where, request_origin _origin) const
+    const proxied_request& _call, const endpoint& _where, request_origin _origin) const
 {
 	http_request out(*_call.request);
-	erase_hop_fields(out);
+	erase_hop_by_hop_fields(out);
 	out.set(http::field::host, to_string(_where));
 	out.set(k_header_service, _call.service_name);
 	out.set(k_header_request_id, _call.id);
-	out.set(k_header_entry_vm, _call.way);
+	out.set(k_header_entry_vm, _call.entry_vm_path);
 	out.set(k_header_caller, _call.caller.to_string());
 	out.set(k_header_relay, make_relay_mark(m_signer, _call.id, _origin, m_clock.wall()));
 	const auto left =
@@ -81,7 +82,7 @@
 
 bool carrier::send_upstream(upstream& _up, const http_request& _request, const yield_context& _yield)
 {
-	_up.wrote = true;
+	_up.sent = true;
 	beast::error_code failure;
 	http::async_write(_up.connection->stream, _request, _yield[failure]);
 	return !failure;
@@ -89,8 +90,8 @@
 
 bool carrier::read_head(http_session& _session, upstream& _up, bool _repeatable, const yield_context& _yield)
 {
-	// While the answer is awaited, a caller that closes its connection cancels the exchange. What may not be
-	// repeated goes on: its answer is kept for the caller's second try.
+	// A caller that closes its connection before the response starts cancels a repeatable request. Other
+	// requests continue, because their answers are stored for another attempt with the same key.
 	auto waiting = std::make_shared<bool>(true);
 	tcp::socket& caller = _session.stream().socket();
 	caller.async_wait(tcp::socket::wait_read,
@@ -110,7 +111,7 @@
 	return !failure;
 }
 
-void carrier::finish(upstream& _up, exchange_end _end)
+void carrier::finish(upstream& _up, exchange_status _end)
 {
 	if (_up.finished)
 	{
@@ -121,7 +122,7 @@
 	{
 		m_gate.release(*_up.slot, _end, m_clock.steady());
 	}
-	if (exchange_end::whole == _end && _up.parser.is_done() && _up.parser.get().keep_alive())
+	if (exchange_status::completed == _end && _up.parser.is_done() && _up.parser.get().keep_alive())
 	{
 		m_pool.give(_up.where, std::move(_up.connection));
 	}
@@ -135,7 +136,7 @@
 		return;
 	}
 	const std::optional<ticket> slot = _up->slot;
-	finish(*_up, exchange_end::unsure);
+	finish(*_up, exchange_status::may_still_run);
 	if (!slot)
 	{
 		return;
@@ -164,23 +165,24 @@
 	m_gate.confirm(_ticket, m_clock.steady());
 }
 
-carried_end carrier::exchange_backend(
-    http_session& _session, carried& _call, const ticket& _ticket, const yield_context& _yield)
+proxied_result carrier::exchange_backend(
+    http_session& _session, proxied_request& _call, const ticket& _ticket, const yield_context& _yield)
 {
 	const gate_backend& backend = *_ticket.backend;
 	const endpoint where = backend.grant.address;
 	const steady_time now = m_clock.steady();
 	const auto run_limit = _call.view->rules->at(_call.service).run_limit;
 	const auto left = std::min<std::chrono::microseconds>(run_limit, _call.deadline - now);
-	connection_ptr connection = m_pool.take(where, _call.repeatable ? k_idle_repeatable : k_idle_careful);
+	connection_ptr connection =
+	    m_pool.take(where, _call.repeatable ? k_max_idle_repeatable : k_max_idle_other);
 	if (!connection)
 	{
 		connection = m_pool.connect(where, k_connect_timeout, _yield);
 	}
 	if (!connection)
 	{
-		m_gate.release(_ticket, exchange_end::never_sent, m_clock.steady());
-		return refused(reason::unreachable);
+		m_gate.release(_ticket, exchange_status::never_sent, m_clock.steady());
+		return refused_result(reason::unreachable);
 	}
 	auto up = std::make_shared<upstream>(std::move(connection), where);
 	up->parser.skip(http::verb::head == _call.request->method());
@@ -198,7 +200,7 @@
 	if (!send_upstream(*up, request, _yield) || !read_head(_session, *up, _call.repeatable, _yield))
 	{
 		abandon(up);
-		carried_end end = not_known(reason::lost_answer);
+		proxied_result end = unknown_result(reason::lost_answer);
 		end.answered = up->caller_gone;
 		if (up->caller_gone)
 		{
@@ -208,53 +210,54 @@
 	}
 	if ("1" == header_of(up->parser.get(), k_header_shed))
 	{
-		finish(*up, exchange_end::shed);
-		return refused(reason::shed);
+		finish(*up, exchange_status::shed);
+		return refused_result(reason::shed);
 	}
-	carried_end end;
+	proxied_result end;
 	end.result = outcome::served;
 	deliver(_session, _call, up, end, _yield);
 	return end;
 }
 
-carried_end carrier::exchange_peer(http_session& _session, carried& _call, entry_vm_handle _to,
+proxied_result carrier::exchange_peer(http_session& _session, proxied_request& _call, entry_vm_handle _to,
     request_origin _origin, const yield_context& _yield)
 {
 	m_metrics.count_relay();
 	const endpoint where = _call.view->rules->at(_to).relay;
-	connection_ptr connection = m_pool.take(where, _call.repeatable ? k_idle_repeatable : k_idle_careful);
+	connection_ptr connection =
+	    m_pool.take(where, _call.repeatable ? k_max_idle_repeatable : k_max_idle_other);
 	if (!connection)
 	{
 		connection = m_pool.connect(where, k_connect_timeout, _yield);
 	}
 	if (!connection)
 	{
-		return refused(reason::unreachable);
+		return refused_result(reason::unreachable);
 	}
 	auto up = std::make_shared<upstream>(std::move(connection), where);
 	up->parser.skip(http::verb::head == _call.request->method());
-	up->connection->stream.expires_at(_call.deadline + k_peer_patience);
+	up->connection->stream.expires_at(_call.deadline + k_peer_deadline_margin);
 	const auto span = m_tracer.start_hop("relay", _call.traceparent, _call.traceparent);
 	const http_request request = make_peer_request(_call, where, _origin);
 	if (!send_upstream(*up, request, _yield) || !read_head(_session, *up, _call.repeatable, _yield))
 	{
 		abandon(up);
-		carried_end end = not_known(reason::lost_answer);
+		proxied_result end = unknown_result(reason::lost_answer);
 		end.answered = up->caller_gone;
 		return end;
 	}
 	const auto& head = up->parser.get();
-	const std::string said = header_of(head, k_header_outcome);
-	_call.way = header_of(head, k_header_entry_vm);
+	const std::string peer_outcome = header_of(head, k_header_outcome);
+	_call.entry_vm_path = header_of(head, k_header_entry_vm);
 	up->backend = header_of(head, k_header_backend);
-	if (to_string(outcome::served) != said)
+	if (to_string(outcome::served) != peer_outcome)
 	{
-		const bool not_run = to_string(outcome::not_run) == said;
-		const reason why = reason_from(header_of(head, k_header_reason));
-		finish(*up, exchange_end::shed);
-		return not_run ? refused(why, reason::cap != why) : not_known(why);
+		const bool not_run = to_string(outcome::not_run) == peer_outcome;
+		const reason why = parse_reason(header_of(head, k_header_reason));
+		finish(*up, exchange_status::shed);
+		return not_run ? refused_result(why, reason::cap != why) : unknown_result(why);
 	}
-	carried_end end;
+	proxied_result end;
 	end.result = outcome::served;
 	deliver(_session, _call, up, end, _yield);
 	return end;
--- a/src/larkrackd/carrier_upstream_p.h
+++ b/src/larkrackd/carrier_upstream_p.h
@@ -2,9 +2,10 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// State of one exchange with a backend server or another entry VM, for the files of the carrier that make
-/// exchanges and deliver answers. An exchange owns its connection and, towards a backend server, the slot:
-/// whoever ends it gives both back.
+/// State of one exchange with a backend server or another entry VM, shared by carrier_upstream.cpp and
+/// carrier_deliver.cpp.
+/// Owns: the upstream connection and, for a backend server, the slot; carrier::finish() and
+/// carrier::abandon() release both.
 #pragma once
 
 #include "larkrackd/carrier_p.h"
@@ -13,7 +14,7 @@
 
 namespace larkrack
 {
-/// One exchange. Shared by the coroutine that writes to the caller and the one that reads ahead.
+/// One exchange. Shared by the coroutine that writes to the caller and the coroutine that reads ahead.
 struct carrier::upstream
 {
 	explicit upstream(connection_ptr _connection, endpoint _where)
@@ -27,14 +28,14 @@
 	http::response_parser<http::buffer_body> parser;
 	std::optional<ticket> slot; ///< Empty for exchanges with entry VMs.
 	std::string id;
-	std::string backend;   ///< Name of the backend server, or the one that an entry VM named.
-	steady_time expires{}; ///< From then on the backend server has nothing of it running.
-	bool finished = false; ///< The slot was given back.
+	std::string backend;   ///< Name of the backend server, or the one that an entry VM returned.
+	steady_time expires{}; ///< From this time on the backend server no longer runs the request.
+	bool finished = false; ///< Slot and connection were released.
 	bool caller_gone = false;
-	bool wrote = false; ///< A byte may have been sent.
+	bool sent = false; ///< Request bytes may have been sent.
 };
 
-/// Pieces that were read and not yet sent on.
+/// Queue of response pieces that were read from upstream and not yet sent to the caller.
 struct carrier::read_ahead
 {
 	explicit read_ahead(asio::io_context& _context) : changed(_context)
@@ -42,12 +43,12 @@
 	}
 	std::deque<std::string> pieces;
 	std::size_t bytes = 0;
-	bool done = false;    ///< Everything was read.
-	bool failed = false;  ///< The other side broke off.
+	bool done = false;    ///< The whole response was read.
+	bool failed = false;  ///< Upstream failed before the end of the response.
 	bool stopped = false; ///< The caller is gone.
 	asio::steady_timer changed;
 
-	/// Wakes whoever waits for a change.
+	/// Wakes the coroutine that waits for a change.
 	void notify()
 	{
 		changed.cancel();
@@ -56,12 +57,12 @@
 	void wait(const yield_context& _yield)
 	{
 		changed.expires_at(std::chrono::steady_clock::time_point::max());
-		// Woken or not, the caller looks at the state again.
+		// The error code does not matter: callers check the state after each wake-up.
 		boost::system::error_code ignored;
 		changed.async_wait(_yield[ignored]);
 	}
 };
 
-/// Takes away the header fields that are meant for one connection only.
-void erase_hop_fields(http::fields& _fields);
+/// Removes the hop-by-hop header fields.
+void erase_hop_by_hop_fields(http::fields& _fields);
 } // namespace larkrack
--- a/src/larkrackd/chooser_own_count.cpp
+++ b/src/larkrackd/chooser_own_count.cpp
@@ -1,6 +1,10 @@
 // Copyright 2026 the larkrack developers. All rights reserved.
 // License: BSD 2-Clause, see LICENSE.
 
+/// @file
+/// The default policy, `own_count`. Relies on candidate::running, which the gate counts exactly, so that the
+/// slots of a backend server are never exceeded, whatever the backend server reports.
+
 #include "larkrackd/chooser_p.h"
 
 #include <algorithm>
@@ -9,12 +13,13 @@
 {
 namespace
 {
-/// Weight of the backend server's own word beside the exact count.
+/// Weight of the reported load, relative to the exactly counted load.
 constexpr double k_reported_weight = 0.25;
-/// Weight of latency, relative to the slowest candidate.
+/// Weight of the latency, which is relative to the slowest candidate.
 constexpr double k_latency_weight = 0.25;
 
-/// Counts exactly; reported load and latency only order those that have a free slot.
+/// Selects the candidate with the lowest cost among those that have a free slot by the exact count of running
+/// requests; reported load and latency only affect the order.
 class chooser_own_count : public chooser_base
 {
 public:
@@ -37,8 +42,8 @@
 			{
 				continue;
 			}
-			const double own = static_cast<double>(one.running) / one.usable;
-			const double cost = own + k_reported_weight * std::max(0.0, one.reported - own) +
+			const double own_load = static_cast<double>(one.running) / one.usable;
+			const double cost = own_load + k_reported_weight * std::max(0.0, one.reported - own_load) +
 			                    k_latency_weight * one.latency_us / slowest;
 			if (k_no_choice == best || cost < best_cost)
 			{
@@ -48,7 +53,7 @@
 		}
 		return best;
 	}
-	bool keeps_to_slots() const override
+	bool respects_slots() const override
 	{
 		return true;
 	}
--- a/src/larkrackd/chooser_p.h
+++ b/src/larkrackd/chooser_p.h
@@ -2,9 +2,9 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Choice of a backend server among those that an entry VM of `larkrackd` owns.
-/// Owns: the rules, one for each value of the setting `chooser`. Relies on: the gate, which counts what runs
-/// and passes only candidates that have a slot in use or free.
+/// Load balancing among the backend servers that an entry VM of `larkrackd` owns.
+/// Owns: the balancing policies, one for each value of the setting `chooser`.
+/// Relies on: gate, which counts the running requests and passes only backend servers that have usable slots.
 #pragma once
 
 #include <cstddef>
@@ -14,19 +14,19 @@
 
 namespace larkrack
 {
-/// What a chooser may know of one backend server.
+/// Load of one backend server, as input of a chooser.
 struct candidate
 {
-	int running = 0;         ///< Requests that this owner has there, counted.
-	int usable = 0;          ///< Slots that may be used now.
-	double reported = 0.0;   ///< Share of its slots in use by its own, lagging word.
-	double latency_us = 0.0; ///< Smoothed time of an exchange; 0: not known.
+	int running = 0;         ///< Requests that this entry VM has running there, counted exactly.
+	int usable = 0;          ///< Slots that may be used now, including those in use.
+	double reported = 0.0;   ///< Share of its slots in use, 0 to 1, from its last load report; lags behind.
+	double latency_us = 0.0; ///< Moving average of exchange times in microseconds; 0: unknown.
 };
 
-/// No candidate.
+/// Result of chooser_base::choose() when no candidate is chosen.
 constexpr std::size_t k_no_choice = static_cast<std::size_t>(-1);
 
-/// Rule of choice.
+/// Balancing policy.
 class chooser_base
 {
 public:
@@ -37,15 +37,15 @@
 
 	/// @returns Index of the chosen candidate, or k_no_choice.
 	virtual std::size_t choose(const std::vector<candidate>& _candidates) = 0;
-	/// @returns Whether the rule keeps to the counted slots; those of create_chooser_plain do not.
-	virtual bool keeps_to_slots() const = 0;
+	/// @returns Whether the policy never exceeds the usable slots; those of create_chooser_plain() may.
+	virtual bool respects_slots() const = 0;
 };
 
 /// @param[in] _name own_count, round_robin, least_connections or two_random.
-/// @returns The rule of that name, or null.
+/// @returns The policy of that name, or null.
 std::unique_ptr<chooser_base> create_chooser(const std::string& _name);
 
 std::unique_ptr<chooser_base> create_chooser_own_count();
-/// @returns One of the rules that `own_count` is compared with, or null.
+/// @returns One of the baseline policies that `own_count` is compared with, or null.
 std::unique_ptr<chooser_base> create_chooser_plain(const std::string& _name);
 } // namespace larkrack
--- a/src/larkrackd/chooser_plain.cpp
+++ b/src/larkrackd/chooser_plain.cpp
@@ -2,9 +2,9 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// The plain ways of choosing a backend server. They are values of the setting `chooser` and are here to be
-/// compared with `own_count`, which is ahead of each: docs/MEASUREMENTS.md, "Beside the plain ways". None of
-/// them keeps to the slots.
+/// Baseline load-balancing policies, selected by the setting `chooser`. They exist for comparison with
+/// `own_count`, which performs better than each of them: docs/MEASUREMENTS.md, "Beside the plain ways". None
+/// of them limits the requests of a backend server to its slots.
 
 #include "larkrackd/chooser_p.h"
 
@@ -15,16 +15,17 @@
 {
 namespace
 {
+/// Base of the baseline policies.
 class chooser_plain : public chooser_base
 {
 public:
-	bool keeps_to_slots() const override
+	bool respects_slots() const override
 	{
 		return false;
 	}
 };
 
-/// One after the other, whatever they have to do.
+/// Round robin, regardless of load.
 class chooser_round_robin : public chooser_plain
 {
 public:
@@ -37,7 +38,7 @@
 	std::size_t m_next = 0;
 };
 
-/// The one with the fewest requests from here.
+/// The candidate with the fewest running requests of this entry VM.
 class chooser_least_connections : public chooser_plain
 {
 public:
@@ -52,7 +53,7 @@
 	}
 };
 
-/// The less busy of two that are drawn at random.
+/// Power of two choices: of two random candidates the one with fewer running requests.
 class chooser_two_random : public chooser_plain
 {
 public:
--- a/src/larkrackd/gate.cpp
+++ b/src/larkrackd/gate.cpp
@@ -10,27 +10,27 @@
 {
 namespace
 {
-/// AIMD of the concurrency limit: slots added for each answer. Larger fills a backend server sooner after it
-/// shed, and makes it shed again sooner. Not measured.
+/// AIMD increase of the concurrency limit: slots added per completed exchange. Larger uses a backend server
+/// fully sooner after it shed a request, and makes it shed again sooner.
 constexpr double k_limit_increase = 0.25;
-/// AIMD of the concurrency limit: factor for a shed request. Smaller relieves an overloaded backend server
-/// more, and leaves more of its slots unused. Not measured.
+/// AIMD decrease of the concurrency limit: factor applied for a shed request. Smaller relieves an overloaded
+/// backend server more, and leaves more of its slots unused.
 constexpr double k_limit_decrease = 0.5;
-/// Shed requests within this time lower the limit once: they were sent under the same limit. Longer reacts
-/// to a persistent overload later. Not measured.
-constexpr std::chrono::milliseconds k_shed_once{50};
+/// Shed requests within this time lower the limit only once, because they were sent under the same limit.
+/// Longer reacts later to a persistent overload.
+constexpr std::chrono::milliseconds k_shed_window{50};
 /// Weight of the newest exchange in the moving average of latency, 0 to 1. Larger follows changes sooner and
-/// lets single slow exchanges steer. Not measured.
+/// reacts more to single slow exchanges.
 constexpr double k_latency_weight = 0.1;
-/// A load report's weight fades linearly to nothing over this time. Longer trusts stale reports. Not
-/// measured.
-constexpr std::chrono::seconds k_report_life{5};
-/// Slots of a cold backend server at the start of its slow start. More warms it sooner and risks slow answers
-/// while its caches are empty. Not measured.
-constexpr int k_cold_slots = 1;
-/// Latency in microseconds that sizes the queue before the first answer. Larger makes the first queue
-/// shorter. Not measured.
-constexpr double k_latency_first = 100000.0;
+/// Age at which a load report has no weight any more; the weight decreases linearly. Longer trusts stale
+/// reports.
+constexpr std::chrono::seconds k_max_report_age{5};
+/// Usable slots of a cold backend server at the start of its slow start. More warms the backend server sooner
+/// and risks slow responses while its caches are empty.
+constexpr int k_slow_start_slots = 1;
+/// Assumed latency in microseconds that bounds the queue before the first exchange completes. Larger makes
+/// the initial queue shorter.
+constexpr double k_initial_latency_us = 100000.0;
 } // namespace
 
 gate::gate(const std::string& _chooser) : m_chooser(create_chooser(_chooser))
@@ -65,7 +65,7 @@
 		{
 			state->grant.owned = false;
 		}
-		// Its tickets are still out; the count goes on until the last one is given back.
+		// Requests still run there: the state is kept until the last ticket is released.
 		if (0 == known.count(name) && 0 < state->running)
 		{
 			known[name] = state;
@@ -103,14 +103,14 @@
 	return sum;
 }
 
-std::optional<ticket> gate::take(pool& _pool, steady_time _now)
+std::optional<ticket> gate::take_slot(pool& _pool, steady_time _now)
 {
-	if (m_held)
+	if (m_on_hold)
 	{
 		return std::nullopt;
 	}
-	const service_headroom room = headroom_of(_pool, _now);
-	if (m_chooser->keeps_to_slots() && 0 == room.free())
+	const service_headroom available = headroom_of(_pool, _now);
+	if (m_chooser->respects_slots() && 0 == available.free())
 	{
 		return std::nullopt;
 	}
@@ -124,8 +124,8 @@
 			continue;
 		}
 		const double age = static_cast<double>((_now - backend->reported_at).count());
-		const double fresh =
-		    std::max(0.0, 1.0 - age / static_cast<double>(std::chrono::microseconds(k_report_life).count()));
+		const double fresh = std::max(
+		    0.0, 1.0 - age / static_cast<double>(std::chrono::microseconds(k_max_report_age).count()));
 		candidates.push_back({backend->running, slots, backend->reported * fresh, backend->latency_us});
 		backends.push_back(backend);
 	}
@@ -140,28 +140,28 @@
 
 bool gate::enqueue(pool& _pool, const waiter_ptr& _waiter, int _limit)
 {
-	auto place = _pool.queue.end();
-	while (_pool.queue.begin() != place)
+	auto position = _pool.queue.end();
+	while (_pool.queue.begin() != position)
 	{
-		const auto before = std::prev(place);
+		const auto before = std::prev(position);
 		if (_waiter->request.priority <= (*before)->request.priority)
 		{
 			break;
 		}
-		place = before;
+		position = before;
 	}
-	if (_pool.queue.end() == place && _limit <= static_cast<int>(_pool.queue.size()))
+	if (_pool.queue.end() == position && _limit <= static_cast<int>(_pool.queue.size()))
 	{
 		return false;
 	}
-	_pool.queue.insert(place, _waiter);
+	_pool.queue.insert(position, _waiter);
 	if (_limit < static_cast<int>(_pool.queue.size()))
 	{
-		// The last of the lowest priority is refused at once, so that its caller can go elsewhere.
-		const waiter_ptr out = _pool.queue.back();
+		// The last request of the lowest priority is refused at once, so that its caller can retry elsewhere.
+		const waiter_ptr evicted = _pool.queue.back();
 		_pool.queue.pop_back();
-		out->given_up = true;
-		out->wake();
+		evicted->removed = true;
+		evicted->wake();
 	}
 	return true;
 }
@@ -178,7 +178,7 @@
 	pool& pool = it->second;
 	if (pool.queue.empty())
 	{
-		std::optional<ticket> taken = take(pool, _now);
+		std::optional<ticket> taken = take_slot(pool, _now);
 		if (taken)
 		{
 			return *taken;
@@ -188,18 +188,18 @@
 	{
 		return reason::no_headroom;
 	}
-	const service_headroom room = headroom_of(pool, _now);
-	// As many may wait as can be served before this request gives up (Little's law).
-	const auto patience = static_cast<double>((_request.queue_until - _now).count());
-	const int limit = static_cast<int>(std::ceil(room.usable * patience / mean_latency(pool)));
-	auto place = std::make_shared<waiter>();
-	place->request = _request;
-	place->wake = std::move(_wake);
-	if (!enqueue(pool, place, limit))
+	const service_headroom available = headroom_of(pool, _now);
+	// The queue may hold as many requests as can be served before this one times out (Little's law).
+	const auto max_wait_us = static_cast<double>((_request.queue_until - _now).count());
+	const int limit = static_cast<int>(std::ceil(available.usable * max_wait_us / mean_latency(pool)));
+	auto queued = std::make_shared<waiter>();
+	queued->request = _request;
+	queued->wake = std::move(_wake);
+	if (!enqueue(pool, queued, limit))
 	{
 		return reason::no_headroom;
 	}
-	return place;
+	return queued;
 }
 
 double gate::mean_latency(const pool& _pool)
@@ -211,36 +211,37 @@
 		sum += backend->latency_us;
 		known += 0.0 < backend->latency_us ? 1 : 0;
 	}
-	return 0 == known ? k_latency_first : std::max(1.0, sum / known);
+	return 0 == known ? k_initial_latency_us : std::max(1.0, sum / known);
 }
 
 std::chrono::microseconds gate::expected_wait(const std::string& _service, steady_time _now) const
 {
 	const std::lock_guard<std::mutex> lock(m_mutex);
 	const auto it = m_pools.find(_service);
-	const service_headroom room = m_pools.end() == it ? service_headroom{} : headroom_of(it->second, _now);
-	if (0 == room.usable)
+	const service_headroom available =
+	    m_pools.end() == it ? service_headroom{} : headroom_of(it->second, _now);
+	if (0 == available.usable)
 	{
 		return std::chrono::hours(1);
 	}
-	if (0 < room.free() && 0 == room.queued)
+	if (0 < available.free() && 0 == available.queued)
 	{
 		return std::chrono::microseconds(0);
 	}
-	const double us = (room.queued + 1) * mean_latency(it->second) / room.usable;
+	const double us = (available.queued + 1) * mean_latency(it->second) / available.usable;
 	return std::chrono::microseconds(static_cast<std::int64_t>(us));
 }
 
-std::optional<ticket> gate::give_up(const waiter_ptr& _waiter)
+std::optional<ticket> gate::leave_queue(const waiter_ptr& _waiter)
 {
 	const std::lock_guard<std::mutex> lock(m_mutex);
 	if (_waiter->granted)
 	{
 		return _waiter->granted;
 	}
-	if (!_waiter->given_up)
+	if (!_waiter->removed)
 	{
-		_waiter->given_up = true;
+		_waiter->removed = true;
 		m_pools[_waiter->request.service].queue.remove(_waiter);
 	}
 	return std::nullopt;
@@ -254,11 +255,11 @@
 		if (next->request.queue_until <= _now)
 		{
 			_pool.queue.pop_front();
-			next->given_up = true;
+			next->removed = true;
 			next->wake();
 			continue;
 		}
-		next->granted = take(_pool, _now);
+		next->granted = take_slot(_pool, _now);
 		if (!next->granted)
 		{
 			return;
@@ -268,26 +269,26 @@
 	}
 }
 
-void gate::release(const ticket& _ticket, exchange_end _end, steady_time _now)
+void gate::release(const ticket& _ticket, exchange_status _end, steady_time _now)
 {
 	const std::lock_guard<std::mutex> lock(m_mutex);
 	gate_backend& backend = *_ticket.backend;
-	if (exchange_end::shed == _end && k_shed_once <= _now - backend.shed_at)
+	if (exchange_status::shed == _end && k_shed_window <= _now - backend.shed_at)
 	{
 		backend.concurrency_limit = std::max(1.0, backend.concurrency_limit * k_limit_decrease);
 		backend.shed_at = _now;
 	}
-	if (exchange_end::whole == _end)
+	if (exchange_status::completed == _end)
 	{
-		const auto took = static_cast<double>((_now - _ticket.started).count());
+		const auto duration_us = static_cast<double>((_now - _ticket.started).count());
 		backend.latency_us +=
-		    (0.0 == backend.latency_us ? 1.0 : k_latency_weight) * (took - backend.latency_us);
+		    (0.0 == backend.latency_us ? 1.0 : k_latency_weight) * (duration_us - backend.latency_us);
 		backend.concurrency_limit =
 		    std::min<double>(backend.grant.slots, backend.concurrency_limit + k_limit_increase);
 		backend.slow_start_limit = std::min(backend.grant.slots, backend.slow_start_limit + 1);
 		++backend.served;
 	}
-	if (exchange_end::unsure == _end)
+	if (exchange_status::may_still_run == _end)
 	{
 		return;
 	}
@@ -308,14 +309,14 @@
 	const auto it = m_by_name.find(_backend);
 	if (m_by_name.end() == it)
 	{
-		// Given up while its load page was read.
+		// The backend server was removed while its load page was read.
 		return;
 	}
 	it->second->reported = std::clamp(_load, 0.0, 1.0);
 	it->second->reported_at = _now;
 	if (_cold && 0 == it->second->running)
 	{
-		it->second->slow_start_limit = std::min(it->second->slow_start_limit, k_cold_slots);
+		it->second->slow_start_limit = std::min(it->second->slow_start_limit, k_slow_start_slots);
 	}
 }
 
@@ -360,9 +361,9 @@
 	return all;
 }
 
-void gate::hold(bool _held)
+void gate::hold(bool _on_hold)
 {
 	const std::lock_guard<std::mutex> lock(m_mutex);
-	m_held = _held;
+	m_on_hold = _on_hold;
 }
 } // namespace larkrack
--- a/src/larkrackd/key_table.cpp
+++ b/src/larkrackd/key_table.cpp
@@ -5,13 +5,14 @@
 
 namespace larkrack
 {
-void key_table::forget(steady_time _now)
+void key_table::remove_expired(steady_time _now)
 {
-	while (!m_by_time.empty() && m_by_time.begin()->first <= _now)
+	while (!m_by_forget_time.empty() && m_by_forget_time.begin()->first <= _now)
 	{
-		const auto it = m_entries.find(m_by_time.begin()->second);
-		m_by_time.erase(m_by_time.begin());
-		// Only finished keys stand in m_by_time; one that runs again since then stays until it ends.
+		const auto it = m_entries.find(m_by_forget_time.begin()->second);
+		m_by_forget_time.erase(m_by_forget_time.begin());
+		// m_by_forget_time contains finished keys only. A key that has been started again since stays until
+		// it finishes.
 		if (m_entries.end() != it && it->second.answer && it->second.forget_at <= _now)
 		{
 			m_entries.erase(it);
@@ -19,39 +20,40 @@
 	}
 }
 
-key_verdict key_table::begin(const std::string& _key, steady_time _forget_at,
-    std::function<void(const kept_ptr&)> _on_finish, steady_time _now)
+key_decision key_table::begin(const std::string& _key, steady_time _forget_at,
+    std::function<void(const kept_answer_ptr&)> _on_finish, steady_time _now)
 {
 	const std::lock_guard<std::mutex> lock(m_mutex);
-	forget(_now);
+	remove_expired(_now);
 	const auto it = m_entries.find(_key);
 	if (m_entries.end() != it && it->second.answer)
 	{
-		return {key_verdict::what::kept, it->second.answer};
+		return {key_decision::action::kept, it->second.answer};
 	}
 	if (m_entries.end() != it)
 	{
 		it->second.waiting.push_back(std::move(_on_finish));
-		return {key_verdict::what::wait, nullptr};
+		return {key_decision::action::wait, nullptr};
 	}
 	if (m_limit <= m_entries.size())
 	{
-		return {key_verdict::what::full, nullptr};
+		return {key_decision::action::full, nullptr};
 	}
 	m_entries[_key].forget_at = _forget_at;
-	return {key_verdict::what::run, nullptr};
+	return {key_decision::action::run, nullptr};
 }
 
 void key_table::finish(const std::string& _key, const kept_answer& _answer)
 {
-	std::vector<std::function<void(const kept_ptr&)>> waiting;
+	std::vector<std::function<void(const kept_answer_ptr&)>> waiting;
 	const auto answer = std::make_shared<const kept_answer>(_answer);
 	{
 		const std::lock_guard<std::mutex> lock(m_mutex);
 		const auto it = m_entries.find(_key);
 		if (m_entries.end() == it)
 		{
-			// Finished before with not_run, which forgot the key and told those who waited.
+			// The key was finished before with outcome::not_run, which removed it and answered the waiting
+			// attempts.
 			return;
 		}
 		waiting = std::move(it->second.waiting);
@@ -63,12 +65,12 @@
 		{
 			it->second.waiting.clear();
 			it->second.answer = answer;
-			m_by_time.emplace(it->second.forget_at, _key);
+			m_by_forget_time.emplace(it->second.forget_at, _key);
 		}
 	}
-	for (const auto& tell : waiting)
+	for (const auto& callback : waiting)
 	{
-		tell(answer);
+		callback(answer);
 	}
 }
 
--- a/src/larkrackd/key_table_p.h
+++ b/src/larkrackd/key_table_p.h
@@ -2,14 +2,16 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Idempotency keys that one entry VM remembers: each key runs at most once in this life of the process.
+/// Table of idempotency keys of one entry VM: each key runs at most once in this incarnation of the process.
 ///
-/// Decides: whether a try with a key runs, waits for the try in flight, gets the kept answer, or is refused
-/// because the table is full. A key is never evicted to make room: it could then run twice.
-/// Owns: the answers of finished keys until their grant expires, and the list of tries that wait. It is in
-/// memory only and lost with the process; a later life answers `unknown` (carrier checks the grant's life).
-/// Relies on: carrier for exactly one finish after each verdict `run`, and for refusing expired grants.
-/// Units: steady time in microseconds; limit in keys (k_keys), kept bodies in bytes (k_kept_body).
+/// Decides: whether an attempt with a key runs, waits for the attempt in flight, gets the stored answer, or
+/// is refused because the table is full. A key is never evicted to make room, because it could then run
+/// twice.
+/// Owns: the answers of finished keys until their grants expire, and the attempts that wait for an answer.
+/// The table is in memory only and lost with the process; a later incarnation answers `unknown` (carrier
+/// checks the grant's incarnation).
+/// Relies on: carrier to call finish() exactly once after each `run`, and to refuse expired grants.
+/// Units: steady time in microseconds; limit in keys (k_keys), stored bodies in bytes (k_kept_body).
 /// Reasons: docs/DESIGN.md (At most once, without a store).
 #pragma once
 
@@ -28,7 +30,7 @@
 
 namespace larkrack
 {
-/// Answer that is kept for further tries of the same key.
+/// Answer that is stored for further attempts with the same key.
 struct kept_answer
 {
 	outcome result = outcome::unknown;
@@ -37,25 +39,25 @@
 	std::string backend;
 	std::string content_type;
 	std::string body;
-	bool body_kept = false; ///< False when the body was too large to keep.
+	bool body_kept = false; ///< False when the body exceeded k_kept_body and was not stored.
 };
-using kept_ptr = std::shared_ptr<const kept_answer>;
+using kept_answer_ptr = std::shared_ptr<const kept_answer>;
 
-/// What the table says to a try.
-struct key_verdict
+/// Decision of the table about an attempt.
+struct key_decision
 {
-	enum class what
+	enum class action
 	{
-		run,  ///< The first try: run it, then call finish.
-		wait, ///< Another try is in flight: the callback will be called with its answer.
-		kept, ///< The answer is known.
-		full, ///< No room for another key: nothing was run.
+		run,  ///< First attempt: run the request, then call finish().
+		wait, ///< Another attempt is in flight: the callback will get its answer.
+		kept, ///< The answer is stored.
+		full, ///< The table is full: nothing was run.
 	};
-	what does = what::run;
-	kept_ptr answer;
+	action next = action::run;
+	kept_answer_ptr answer;
 };
 
-/// Thread-safe.
+/// Table of keys in flight and finished keys. Thread-safe.
 class key_table : public service_base
 {
 public:
@@ -66,28 +68,30 @@
 	{
 		return "key_table";
 	}
-	/// Asks whether a try may run.
-	/// @param[in] _forget_at Time from which its grant has expired, so that the key is refused anyway.
-	/// @param[in] _on_finish Called with the answer when the verdict is wait.
-	key_verdict begin(const std::string& _key, steady_time _forget_at,
-	    std::function<void(const kept_ptr&)> _on_finish, steady_time _now);
-	/// Ends the first try and calls those who wait. An answer of not_run forgets the key: it may run later.
+	/// Starts an attempt with a key.
+	/// @param[in] _forget_at Time from which the grant of the key has expired, so that the key is refused
+	/// anyway.
+	/// @param[in] _on_finish Called with the answer if the decision is `wait`.
+	key_decision begin(const std::string& _key, steady_time _forget_at,
+	    std::function<void(const kept_answer_ptr&)> _on_finish, steady_time _now);
+	/// Ends the attempt that ran and passes its answer to the attempts that wait. After an answer of
+	/// outcome::not_run the key is removed, so that it may run later.
 	void finish(const std::string& _key, const kept_answer& _answer);
-	/// @returns Number of keys that are remembered.
+	/// @returns Number of keys in the table.
 	std::size_t size() const;
 
 private:
 	struct entry
 	{
-		kept_ptr answer;
+		kept_answer_ptr answer;
 		steady_time forget_at{};
-		std::vector<std::function<void(const kept_ptr&)>> waiting;
+		std::vector<std::function<void(const kept_answer_ptr&)>> waiting;
 	};
-	void forget(steady_time _now);
+	void remove_expired(steady_time _now);
 
 	mutable std::mutex m_mutex;
 	std::size_t m_limit;
 	std::unordered_map<std::string, entry> m_entries;
-	std::multimap<steady_time, std::string> m_by_time; ///< Finished keys by the time they are forgotten.
+	std::multimap<steady_time, std::string> m_by_forget_time; ///< Finished keys by time of removal.
 };
 } // namespace larkrack
--- a/src/larkrackd/retry_token_bucket_p.h
+++ b/src/larkrackd/retry_token_bucket_p.h
@@ -2,13 +2,13 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Token bucket that bounds the retries of one larkrackd; first tries fill it.
+/// Token bucket that limits the retries of one larkrackd; first attempts add tokens.
 ///
-/// Decides: whether a retry may be made. It bounds what retries add to the load while backend servers are
-/// slow.
+/// Decides: whether a retry may be made. The bucket limits the load that retries add while backend servers
+/// are slow.
 /// Owns: the tokens, shared by the traffic threads of one process.
-/// The retry budget of larkrack-edge differs: it keeps a ratio that operators set within a sliding window.
-/// This one has fixed figures (larkrack/config.h), and its burst is saved up without a time limit.
+/// Relies on: the constants in larkrack/config.h. The retry budget of larkrack-edge differs: it keeps a
+/// ratio, set by operators, within a sliding window, whereas tokens of this bucket never expire.
 #pragma once
 
 #include "larkrack/config.h"
@@ -18,31 +18,32 @@
 
 namespace larkrack
 {
-/// Thread-safe. Each first try adds a part of a token; a retry takes a whole one.
+/// Thread-safe. Each first attempt adds a fraction of a token; a retry takes one token.
 class retry_token_bucket
 {
 public:
-	/// @param[in] _share Tokens for each first try, 0 to 1.
-	/// @param[in] _burst Tokens that may be saved up; the bucket starts full.
+	/// @param[in] _share Tokens that each first attempt adds, 0 to 1.
+	/// @param[in] _burst Maximum number of tokens; the bucket starts full.
 	explicit retry_token_bucket(double _share = k_retry_share, double _burst = k_retry_burst)
-	    : m_share(_share), m_burst(_burst), m_saved(_burst)
+	    : m_share(_share), m_burst(_burst), m_tokens(_burst)
 	{
 	}
-	/// Counts a first try.
+	/// Adds the tokens of a first attempt.
 	void earn()
 	{
 		const std::lock_guard<std::mutex> lock(m_mutex);
-		m_saved = std::min(m_burst, m_saved + m_share);
+		m_tokens = std::min(m_burst, m_tokens + m_share);
 	}
-	/// @returns Whether a retry may be made; it is then counted.
+	/// Takes a token if there is one.
+	/// @returns Whether a retry may be made.
 	bool spend()
 	{
 		const std::lock_guard<std::mutex> lock(m_mutex);
-		if (m_saved < 1.0)
+		if (m_tokens < 1.0)
 		{
 			return false;
 		}
-		m_saved -= 1.0;
+		m_tokens -= 1.0;
 		return true;
 	}
 
@@ -50,6 +51,6 @@
 	std::mutex m_mutex;
 	double m_share;
 	double m_burst;
-	double m_saved; ///< Tokens.
+	double m_tokens; ///< Available tokens.
 };
 } // namespace larkrack
--- a/tests/carrier_test.cpp
+++ b/tests/carrier_test.cpp
@@ -2,7 +2,8 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// The way of a request over real connections: two entry VMs' carriers and backend servers in one thread.
+/// Tests of carrier over real connections: the carriers of two entry VMs and a fake backend server
+/// run in one thread.
 
 #include "fixtures.h"
 
@@ -18,25 +19,25 @@
 	CPPUNIT_TEST(request_when_backend_answers_is_served_whole);
 	CPPUNIT_TEST(request_when_answer_is_large_is_served_whole);
 	CPPUNIT_TEST(request_when_service_unknown_is_not_run);
-	CPPUNIT_TEST(request_when_slots_taken_is_refused_with_time_to_come_back);
+	CPPUNIT_TEST(request_when_slots_taken_is_refused_with_retry_delay);
 	CPPUNIT_TEST(request_when_backend_sheds_is_not_run);
 	CPPUNIT_TEST(request_when_backend_dead_is_not_served);
 	CPPUNIT_TEST(request_when_owner_is_elsewhere_is_relayed_once);
 	CPPUNIT_TEST(relay_when_not_signed_is_refused);
-	CPPUNIT_TEST(payment_when_tried_twice_runs_once);
+	CPPUNIT_TEST(payment_when_sent_twice_runs_once);
 	CPPUNIT_TEST(payment_when_answer_cut_is_unknown_and_never_runs_again);
-	CPPUNIT_TEST(payment_when_sent_to_other_entry_vm_runs_at_named_one);
-	CPPUNIT_TEST(payment_when_named_life_is_over_is_unknown);
-	CPPUNIT_TEST(payment_when_named_life_is_over_but_first_try_is_not_run);
+	CPPUNIT_TEST(payment_when_sent_to_other_entry_vm_runs_at_granted_one);
+	CPPUNIT_TEST(payment_when_granted_incarnation_is_over_is_unknown);
+	CPPUNIT_TEST(payment_when_granted_incarnation_is_over_but_first_attempt_is_not_run);
 	CPPUNIT_TEST(payment_when_grant_forged_is_refused);
 	CPPUNIT_TEST(lookup_when_asked_names_entry_vm_and_grant);
 	CPPUNIT_TEST(caller_when_gone_frees_the_slot);
 	CPPUNIT_TEST_SUITE_END();
 
-	/// One entry VM without its control thread: the view is made by hand.
-	struct entry
+	/// One entry VM without its control thread; the test publishes the traffic_view.
+	struct entry_vm_fixture
 	{
-		entry(asio::io_context& _context, const std::string& _name)
+		entry_vm_fixture(asio::io_context& _context, const std::string& _name)
 		{
 			settings own;
 			own.name = _name;
@@ -50,16 +51,16 @@
 			services.add(std::make_unique<gate>("own_count"));
 			services.add(std::make_unique<key_table>());
 			services.init();
-			carry = std::make_unique<carrier>(_context, services, budget);
+			requests = std::make_unique<carrier>(_context, services, budget);
 			callers = std::make_unique<http_server>(_context,
 			    [this](http_session& _session, http_request& _request, const yield_context& _yield)
 			    {
-				    carry->handle_caller(_session, _request, _yield);
+				    requests->handle_caller(_session, _request, _yield);
 			    });
 			relays = std::make_unique<http_server>(_context,
 			    [this](http_session& _session, http_request& _request, const yield_context& _yield)
 			    {
-				    carry->handle_relay(_session, _request, _yield);
+				    requests->handle_relay(_session, _request, _yield);
 			    });
 			callers->listen({"127.0.0.1", 0});
 			relays->listen({"127.0.0.1", 0});
@@ -70,7 +71,7 @@
 		}
 		kernel services;
 		retry_token_bucket budget;
-		std::unique_ptr<carrier> carry;
+		std::unique_ptr<carrier> requests;
 		std::unique_ptr<http_server> callers;
 		std::unique_ptr<http_server> relays;
 	};
@@ -84,14 +85,14 @@
 		options.slots = 2;
 		m_backend = std::make_unique<fake_backend>(m_context, options, m_runs, 1);
 		m_backend->init();
-		m_east = std::make_unique<entry>(m_context, "east-1");
-		m_west = std::make_unique<entry>(m_context, "west-1");
+		m_east = std::make_unique<entry_vm_fixture>(m_context, "east-1");
+		m_west = std::make_unique<entry_vm_fixture>(m_context, "west-1");
 		publish({1});
 	}
 
 private:
-	/// All traffic goes to the east; its entry VM owns the backend server.
-	void publish(incarnation _life)
+	/// Publishes a view in which region east serves all traffic and east-1 owns the backend server.
+	void publish(incarnation _incarnation)
 	{
 		config_state state = small_configuration();
 		put(state, "steering/shop", {{"shares", {{"east", 1.0}}}});
@@ -99,19 +100,19 @@
 		    {{"domain", "east-a"}, {"callers", to_string(at(*m_east->callers))},
 		        {"relay", to_string(at(*m_east->relays))}, {"peers", "127.0.0.1:1"}});
 		const policy_ptr rules = std::get<policy_ptr>(build_policy(state));
-		for (entry* one : {m_east.get(), m_west.get()})
+		for (entry_vm_fixture* one : {m_east.get(), m_west.get()})
 		{
 			auto view = std::make_shared<traffic_view>();
 			view->rules = rules;
 			view->self = rules->find_entry_vm(one == m_east.get() ? "east-1" : "west-1");
 			view->region = rules->region_of(view->self);
-			view->life = _life;
+			view->life = _incarnation;
 			view->first_life = true;
 			view->peers.resize(rules->entry_vms.size());
 			for (peer_view& peer : view->peers)
 			{
 				peer.alive = true;
-				peer.life = _life;
+				peer.life = _incarnation;
 				peer.rooms.resize(rules->services.size());
 			}
 			view->peers[rules->find_entry_vm("east-1").idx].rooms[0] = {2, 0, 0, 0, 2};
@@ -134,7 +135,7 @@
 		return {"127.0.0.1", _server.port()};
 	}
 
-	http_response call(entry& _entry, http::verb _verb, const std::string& _target,
+	http_response call(entry_vm_fixture& _entry, http::verb _verb, const std::string& _target,
 	    const std::string& _key = "", bool _first_try = false, bool _relay = false)
 	{
 		http_response answer;
@@ -167,12 +168,12 @@
 		return answer;
 	}
 
-	std::string grant_text(std::uint64_t _life)
+	std::string grant_text(std::uint64_t _incarnation)
 	{
 		grant one;
 		one.service = "shop";
 		one.entry_vm = "east-1";
-		one.life = {_life};
+		one.life = {_incarnation};
 		one.expires = clock_system().wall() + std::chrono::seconds(60);
 		return signer("a secret of sixteen").sign(one);
 	}
@@ -190,8 +191,8 @@
 	asio::io_context m_context{1};
 	history_writer m_runs{""};
 	std::unique_ptr<fake_backend> m_backend;
-	std::unique_ptr<entry> m_east;
-	std::unique_ptr<entry> m_west;
+	std::unique_ptr<entry_vm_fixture> m_east;
+	std::unique_ptr<entry_vm_fixture> m_west;
 
 public:
 	void request_when_backend_answers_is_served_whole()
@@ -218,7 +219,7 @@
 		CPPUNIT_ASSERT_EQUAL(std::string("not_run"), outcome_of(answer));
 	}
 
-	void request_when_slots_taken_is_refused_with_time_to_come_back()
+	void request_when_slots_taken_is_refused_with_retry_delay()
 	{
 		const steady_time now = clock_system().steady();
 		for (int taken = 0; taken < 2; ++taken)
@@ -267,7 +268,7 @@
 		CPPUNIT_ASSERT_EQUAL(0, total_runs());
 	}
 
-	void payment_when_tried_twice_runs_once()
+	void payment_when_sent_twice_runs_once()
 	{
 		const std::string key = grant_text(1) + "/order-7";
 		const http_response first = call(*m_east, http::verb::post, "/shop/pay?bytes=40&object=p", key, true);
@@ -289,7 +290,7 @@
 		CPPUNIT_ASSERT_EQUAL(1, total_runs());
 	}
 
-	void payment_when_sent_to_other_entry_vm_runs_at_named_one()
+	void payment_when_sent_to_other_entry_vm_runs_at_granted_one()
 	{
 		const std::string key = grant_text(1) + "/order-9";
 		const http_response first = call(*m_west, http::verb::post, "/shop/pay?bytes=40&object=p", key, true);
@@ -299,14 +300,14 @@
 		CPPUNIT_ASSERT_EQUAL(1, total_runs());
 	}
 
-	void payment_when_named_life_is_over_is_unknown()
+	void payment_when_granted_incarnation_is_over_is_unknown()
 	{
 		const http_response answer = call(*m_east, http::verb::post, "/shop/pay", grant_text(99) + "/order");
 		CPPUNIT_ASSERT_EQUAL(std::string("unknown"), outcome_of(answer));
 		CPPUNIT_ASSERT_EQUAL(0, total_runs());
 	}
 
-	void payment_when_named_life_is_over_but_first_try_is_not_run()
+	void payment_when_granted_incarnation_is_over_but_first_attempt_is_not_run()
 	{
 		const http_response answer =
 		    call(*m_east, http::verb::post, "/shop/pay", grant_text(99) + "/order", true);
--- a/tests/key_table_test.cpp
+++ b/tests/key_table_test.cpp
@@ -2,7 +2,7 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// At most once: keys, kept answers, grants.
+/// Tests of key_table and of grants: each key runs at most once, further attempts get the stored answer.
 
 #include "fixtures.h"
 
@@ -18,23 +18,23 @@
 	CPPUNIT_TEST_SUITE(key_table_test);
 	CPPUNIT_TEST(key_when_new_runs);
 	CPPUNIT_TEST(key_when_in_flight_waits_and_gets_answer);
-	CPPUNIT_TEST(key_when_answered_gets_kept_answer);
+	CPPUNIT_TEST(key_when_finished_gets_stored_answer);
 	CPPUNIT_TEST(key_when_not_run_may_run_again);
 	CPPUNIT_TEST(key_when_unknown_never_runs_again);
-	CPPUNIT_TEST(key_when_in_flight_beyond_its_time_is_not_forgotten);
+	CPPUNIT_TEST(key_when_in_flight_beyond_forget_time_is_not_removed);
 	CPPUNIT_TEST(table_when_full_refuses);
-	CPPUNIT_TEST(runs_when_tries_are_random_happen_once);
+	CPPUNIT_TEST(runs_when_attempts_are_random_happen_once);
 	CPPUNIT_TEST(grant_when_signed_is_read_back);
 	CPPUNIT_TEST(grant_when_changed_is_refused);
 	CPPUNIT_TEST_SUITE_END();
 
-	key_verdict begin(const std::string& _key)
+	key_decision begin(const std::string& _key)
 	{
 		return m_table.begin(
 		    _key, m_clock.steady() + std::chrono::seconds(60),
-		    [this](const kept_ptr& _answer)
+		    [this](const kept_answer_ptr& _answer)
 		    {
-			    m_told = _answer;
+			    m_answer = _answer;
 		    },
 		    m_clock.steady());
 	}
@@ -50,50 +50,50 @@
 
 	clock_virtual m_clock;
 	key_table m_table{3};
-	kept_ptr m_told;
+	kept_answer_ptr m_answer;
 
 public:
 	void key_when_new_runs()
 	{
-		CPPUNIT_ASSERT(key_verdict::what::run == begin("k").does);
+		CPPUNIT_ASSERT(key_decision::action::run == begin("k").next);
 	}
 
 	void key_when_in_flight_waits_and_gets_answer()
 	{
 		begin("k");
-		CPPUNIT_ASSERT(key_verdict::what::wait == begin("k").does);
+		CPPUNIT_ASSERT(key_decision::action::wait == begin("k").next);
 		m_table.finish("k", answer_of(outcome::served));
-		CPPUNIT_ASSERT(m_told && "done" == m_told->body);
+		CPPUNIT_ASSERT(m_answer && "done" == m_answer->body);
 	}
 
-	void key_when_answered_gets_kept_answer()
+	void key_when_finished_gets_stored_answer()
 	{
 		begin("k");
 		m_table.finish("k", answer_of(outcome::served));
-		const key_verdict verdict = begin("k");
-		CPPUNIT_ASSERT(key_verdict::what::kept == verdict.does);
-		CPPUNIT_ASSERT_EQUAL(200, verdict.answer->status);
+		const key_decision decision = begin("k");
+		CPPUNIT_ASSERT(key_decision::action::kept == decision.next);
+		CPPUNIT_ASSERT_EQUAL(200, decision.answer->status);
 	}
 
 	void key_when_not_run_may_run_again()
 	{
 		begin("k");
 		m_table.finish("k", answer_of(outcome::not_run));
-		CPPUNIT_ASSERT(key_verdict::what::run == begin("k").does);
+		CPPUNIT_ASSERT(key_decision::action::run == begin("k").next);
 	}
 
 	void key_when_unknown_never_runs_again()
 	{
 		begin("k");
 		m_table.finish("k", answer_of(outcome::unknown));
-		CPPUNIT_ASSERT(key_verdict::what::kept == begin("k").does);
+		CPPUNIT_ASSERT(key_decision::action::kept == begin("k").next);
 	}
 
-	void key_when_in_flight_beyond_its_time_is_not_forgotten()
+	void key_when_in_flight_beyond_forget_time_is_not_removed()
 	{
 		begin("k");
 		m_clock.advance(std::chrono::hours(1));
-		CPPUNIT_ASSERT(key_verdict::what::wait == begin("k").does);
+		CPPUNIT_ASSERT(key_decision::action::wait == begin("k").next);
 	}
 
 	void table_when_full_refuses()
@@ -101,13 +101,13 @@
 		begin("a");
 		begin("b");
 		begin("c");
-		CPPUNIT_ASSERT(key_verdict::what::full == begin("d").does);
+		CPPUNIT_ASSERT(key_decision::action::full == begin("d").next);
 		m_table.finish("a", answer_of(outcome::served));
 		m_clock.advance(std::chrono::seconds(61));
-		CPPUNIT_ASSERT(key_verdict::what::run == begin("d").does);
+		CPPUNIT_ASSERT(key_decision::action::run == begin("d").next);
 	}
 
-	void runs_when_tries_are_random_happen_once()
+	void runs_when_attempts_are_random_happen_once()
 	{
 		const bool held = rc::check("no key runs twice once it may have run",
 		    [](const std::vector<std::uint8_t>& _steps)
@@ -128,13 +128,13 @@
 					    in_flight[key] = false;
 					    continue;
 				    }
-				    const auto verdict = table.begin(
+				    const auto decision = table.begin(
 				        key, clock.steady() + std::chrono::hours(1),
-				        [](const kept_ptr&)
+				        [](const kept_answer_ptr&)
 				        {
 				        },
 				        clock.steady());
-				    if (key_verdict::what::run == verdict.does)
+				    if (key_decision::action::run == decision.next)
 				    {
 					    ++ran[key];
 					    in_flight[key] = true;
