--- a/src/larkrackd/grant.cpp
+++ b/src/larkrackd/grant.cpp
@@ -17,14 +17,14 @@
 {
 namespace
 {
-/// Version of the form; a key with this prefix claims to be built on a grant.
+/// Prefix of a grant, including the version of its format.
 constexpr const char* k_prefix = "g1:";
-/// Fields between colons, the signature included.
-constexpr std::size_t k_fields = 8;
-/// Bytes of the HMAC that are kept. Fewer makes headers shorter and forging easier.
+/// Number of fields separated by colons, including prefix and signature.
+constexpr std::size_t k_field_count = 8;
+/// Size of the truncated HMAC in bytes. Fewer makes headers shorter and forgery easier.
 constexpr std::size_t k_signature_bytes = 16;
 
-std::string body_of(const grant& _grant)
+std::string signed_text(const grant& _grant)
 {
 	return k_prefix + _grant.service + ":" + _grant.entry_vm + ":" + std::to_string(_grant.life.value) + ":" +
 	       std::to_string(to_us(_grant.issued)) + ":" + std::to_string(to_us(_grant.expires)) + ":" +
@@ -55,32 +55,32 @@
 
 std::string signer::sign(const grant& _grant) const
 {
-	const std::string body = body_of(_grant);
+	const std::string body = signed_text(_grant);
 	return body + ":" + signature(body);
 }
 
 result<grant> signer::read(const std::string& _text) const
 {
-	const error bad{"bad_grant", "the grant is not one of this system's"};
+	const error invalid{"bad_grant", "the grant is malformed or forged"};
 	const std::string text = _text.substr(0, _text.find('/'));
 	std::vector<std::string> fields;
 	boost::split(fields, text, boost::is_any_of(":"));
-	if (k_fields != fields.size())
+	if (k_field_count != fields.size())
 	{
-		return bad;
+		return invalid;
 	}
 	grant read;
-	// Numbers that do not parse become 0; the signature over the text made from them then does not match.
+	// Malformed numbers become 0; then the signature of the text rebuilt from the fields does not match.
 	read.service = fields[1];
 	read.entry_vm = fields[2];
 	read.life.value = std::strtoull(fields[3].c_str(), nullptr, 10);
 	read.issued = from_us(std::strtoll(fields[4].c_str(), nullptr, 10));
 	read.expires = from_us(std::strtoll(fields[5].c_str(), nullptr, 10));
 	read.nonce = std::strtoull(fields[6].c_str(), nullptr, 10);
-	const std::string body = body_of(read);
+	const std::string body = signed_text(read);
 	if (!same(signature(body), fields[7]))
 	{
-		return bad;
+		return invalid;
 	}
 	return read;
 }
--- a/src/larkrackd/lookup.cpp
+++ b/src/larkrackd/lookup.cpp
@@ -16,13 +16,14 @@
 {
 namespace
 {
-/// Entry VMs in one answer. More helps a caller when several are away, and makes answers longer. Not
-/// measured.
-constexpr std::size_t k_choices = 4;
-/// Weights in an answer are rounded to multiples of 1 / this, to keep answers short. Not measured.
+/// Maximum number of entry VMs in one answer. More helps a caller when several entry VMs are unreachable, and
+/// makes answers longer.
+constexpr std::size_t k_max_choices = 4;
+/// Weights in an answer are rounded to multiples of 1 / k_weight_steps, to keep answers short.
 constexpr double k_weight_steps = 1000.0;
 
-bool may_be_named(const traffic_view& _view, std::size_t _vm)
+/// @returns Whether look-ups may list the entry VM.
+bool is_listable(const traffic_view& _view, std::size_t _vm)
 {
 	const peer_view& peer = _view.peers[_vm];
 	const policy& rules = *_view.rules;
@@ -33,7 +34,7 @@
 
 double point_of(const boost::asio::ip::address& _caller, const std::string& _service)
 {
-	const wide_address wide = widen(_caller);
+	const wide_address wide = to_wide_address(_caller);
 	const std::string_view bytes(reinterpret_cast<const char*>(&wide), sizeof(wide));
 	return point_of_hash(hash64(bytes, hash64(_service)));
 }
@@ -54,7 +55,7 @@
 	double sum = 0.0;
 	for (std::size_t at = 0; at < _view.peers.size(); ++at)
 	{
-		if (!may_be_named(_view, at))
+		if (!is_listable(_view, at))
 		{
 			continue;
 		}
@@ -105,12 +106,12 @@
 	return best;
 }
 
-std::string lookup_cache::list_of(
+std::string lookup_cache::list_json(
     const traffic_view& _view, service_handle _service, const std::vector<lookup_choice>& _choices)
 {
 	const policy& rules = *_view.rules;
 	nlohmann::json list = nlohmann::json::array();
-	for (std::size_t at = 0; at < std::min(_choices.size(), k_choices); ++at)
+	for (std::size_t at = 0; at < std::min(_choices.size(), k_max_choices); ++at)
 	{
 		const lookup_choice& choice = _choices[at];
 		const entry_vm_spec& vm = rules.at(choice.vm);
@@ -123,27 +124,28 @@
 	return answer.dump();
 }
 
-const std::vector<lookup_cache::prepared>& lookup_cache::lists(
+const std::vector<lookup_cache::prepared_answer>& lookup_cache::prepared_answers(
     const view_ptr& _view, service_handle _service, region_handle _region)
 {
 	if (m_view != _view)
 	{
 		m_view = _view;
-		m_lists.clear();
+		m_answers.clear();
 	}
-	std::vector<prepared>& all = m_lists[{_service.idx, _region.idx}];
+	std::vector<prepared_answer>& all = m_answers[{_service.idx, _region.idx}];
 	if (!all.empty())
 	{
 		return all;
 	}
-	// One list for each entry VM that may stand first; the part of draws that it gets is its weight.
+	// One answer for each entry VM that may be listed first; the fraction of draws that select the answer is
+	// the weight of that entry VM.
 	const std::vector<lookup_choice> base = order_entry_vms(*_view, _service, _region, 0.0);
 	double sum = 0.0;
 	for (const lookup_choice& choice : base)
 	{
 		sum += _view->rules->region_of(choice.vm) == _region ? choice.weight : 0.0;
 	}
-	double upto = 0.0;
+	double draw_limit = 0.0;
 	for (std::size_t at = 0; at < base.size(); ++at)
 	{
 		const bool near = _view->rules->region_of(base[at].vm) == _region && 0.0 < base[at].weight;
@@ -151,11 +153,11 @@
 		{
 			continue;
 		}
-		std::vector<lookup_choice> turned = base;
-		std::rotate(turned.begin(), turned.begin() + static_cast<std::ptrdiff_t>(at),
-		    turned.begin() + static_cast<std::ptrdiff_t>(at) + 1);
-		upto += sum <= 0.0 ? 1.0 : base[at].weight / sum;
-		all.push_back({upto, turned.front().vm, list_of(*_view, _service, turned)});
+		std::vector<lookup_choice> rotated = base;
+		std::rotate(rotated.begin(), rotated.begin() + static_cast<std::ptrdiff_t>(at),
+		    rotated.begin() + static_cast<std::ptrdiff_t>(at) + 1);
+		draw_limit += sum <= 0.0 ? 1.0 : base[at].weight / sum;
+		all.push_back({draw_limit, rotated.front().vm, list_json(*_view, _service, rotated)});
 	}
 	return all;
 }
@@ -167,31 +169,31 @@
 	region_handle region = region_for(*_view, _service, _caller);
 	if (!is_valid(region))
 	{
-		// Held back by the cap: the caller is told where it would go, and is refused there with a time to
-		// come back.
+		// The cap of a shift leaves the caller unassigned: the answer lists the caller's home
+		// region, where its request is refused with a retry delay.
 		region = rules.home_of(_caller);
 	}
-	const std::vector<prepared>& all = lists(_view, _service, region);
+	const std::vector<prepared_answer>& all = prepared_answers(_view, _service, region);
 	if (all.empty())
 	{
 		return R"({"entry_vms":[],"ttl_ms":0})";
 	}
 	const double draw = std::uniform_real_distribution<double>(0.0, 1.0)(m_random);
 	std::size_t at = 0;
-	while (at + 1 < all.size() && all[at].upto <= draw)
+	while (at + 1 < all.size() && all[at].draw_limit <= draw)
 	{
 		++at;
 	}
-	const prepared& chosen = all[at];
-	grant given;
-	given.service = rules.at(_service).name;
-	given.entry_vm = rules.at(chosen.first).name;
-	given.life = _view->peers[chosen.first.idx].life;
-	given.issued = _now;
-	given.expires = _now + k_grant_life;
-	given.nonce = m_random();
+	const prepared_answer& chosen = all[at];
+	grant issued;
+	issued.service = rules.at(_service).name;
+	issued.entry_vm = rules.at(chosen.first).name;
+	issued.life = _view->peers[chosen.first.idx].life;
+	issued.issued = _now;
+	issued.expires = _now + k_grant_life;
+	issued.nonce = m_random();
 	std::string text = chosen.text;
 	text.pop_back();
-	return text + ",\"grant\":\"" + _signer.sign(given) + "\"}";
+	return text + ",\"grant\":\"" + _signer.sign(issued) + "\"}";
 }
 } // namespace larkrack
--- a/src/larkrackd/mix.cpp
+++ b/src/larkrackd/mix.cpp
@@ -11,21 +11,22 @@
 {
 namespace
 {
-/// Shares below this are taken as zero, so that nothing is divided by a rounding error. Not measured.
-constexpr double k_nothing = 1e-12;
-/// Difference of two shares that is rounding only. It must exceed the error of a sum of shares (a sum of
-/// 1 - 1e-16 keeps a shift from its goal) and be far below one step.
-constexpr double k_rounding = 1e-9;
-/// A limiter keeps no samples that are closer than this, and moves no more often. Shorter costs memory
-/// (window / gap samples), longer makes steps coarser. Not measured; equal to k_tick.
+/// Shares below this are treated as zero, to avoid a division by a rounding error.
+constexpr double k_zero_share = 1e-12;
+/// Maximum difference of two equal shares due to rounding. It must exceed the error of a sum of shares (a sum
+/// of 1 - 1e-16 would keep a shift from reaching its goal) and be far below one step.
+constexpr double k_rounding_error = 1e-9;
+/// Minimum time between two samples of a limiter, and between two moves. Shorter needs more memory (window /
+/// gap samples), longer makes steps coarser. Equal to k_tick.
 constexpr std::chrono::milliseconds k_sample_gap{50};
 
-/// Lets open regions keep what no other region may gain yet, so that only a closed region's loss is refused.
-void keep_ungained(
+/// Returns to open regions the share that no other region may gain yet, so that only the lost share of a
+/// closed region is refused.
+void retain_unassigned(
     const std::vector<double>& _current, const std::vector<bool>& _open, std::vector<double>& _next)
 {
 	double unassigned = 1.0 - std::accumulate(_next.begin(), _next.end(), 0.0);
-	for (std::size_t at = 0; at < _next.size() && k_nothing < unassigned; ++at)
+	for (std::size_t at = 0; at < _next.size() && k_zero_share < unassigned; ++at)
 	{
 		if (!_open[at] || _current[at] <= _next[at])
 		{
@@ -62,38 +63,38 @@
 	mix plan;
 	plan.regions = _demand.size();
 	plan.part.assign(plan.regions * plan.regions, 0.0);
-	std::vector<double> room(plan.regions);
-	double rooms = 0.0;
+	std::vector<double> spare(plan.regions);
+	double spare_sum = 0.0;
 	for (std::size_t at = 0; at < plan.regions; ++at)
 	{
-		room[at] = std::max(0.0, _shares[at] - _demand[at]);
-		rooms += room[at];
+		spare[at] = std::max(0.0, _shares[at] - _demand[at]);
+		spare_sum += spare[at];
 	}
 	for (std::size_t home = 0; home < plan.regions; ++home)
 	{
 		double* row = &plan.part[home * plan.regions];
-		if (_demand[home] < k_nothing)
+		if (_demand[home] < k_zero_share)
 		{
 			std::copy(_shares.begin(), _shares.end(), row);
 			continue;
 		}
 		const double kept = std::min(_demand[home], _shares[home]);
 		row[home] = kept / _demand[home];
-		if (rooms < k_nothing)
+		if (spare_sum < k_zero_share)
 		{
 			continue;
 		}
-		// What the regions with room can not take stays unassigned.
+		// The excess beyond the spare shares of other regions stays unassigned.
 		const double excess = _demand[home] - kept;
-		double excesses = 0.0;
+		double excess_sum = 0.0;
 		for (std::size_t at = 0; at < plan.regions; ++at)
 		{
-			excesses += std::max(0.0, _demand[at] - _shares[at]);
+			excess_sum += std::max(0.0, _demand[at] - _shares[at]);
 		}
-		const double taken = excesses < k_nothing ? 0.0 : std::min(1.0, rooms / excesses);
+		const double taken = excess_sum < k_zero_share ? 0.0 : std::min(1.0, spare_sum / excess_sum);
 		for (std::size_t at = 0; at < plan.regions; ++at)
 		{
-			row[at] += excess * taken * (room[at] / rooms) / _demand[home];
+			row[at] += excess * taken * (spare[at] / spare_sum) / _demand[home];
 		}
 	}
 	return plan;
@@ -108,7 +109,8 @@
 		open_sum += _open[at] ? _shares[at] : 0.0;
 		open_count += _open[at] ? 1 : 0;
 	}
-	// Dividing by a sum that is not quite one would change shares that nobody closed.
+	// Without a closed region the shares stay as they are; dividing by a sum that is not exactly 1 would
+	// change them.
 	if (0 == open_count || _shares.size() == open_count)
 	{
 		return _shares;
@@ -119,7 +121,7 @@
 		if (_open[at])
 		{
 			shares[at] =
-			    open_sum < k_nothing ? 1.0 / static_cast<double>(open_count) : _shares[at] / open_sum;
+			    open_sum < k_zero_share ? 1.0 / static_cast<double>(open_count) : _shares[at] / open_sum;
 		}
 	}
 	return shares;
@@ -130,7 +132,7 @@
 	return std::equal(_a.begin(), _a.end(), _b.begin(), _b.end(),
 	    [](double _x, double _y)
 	    {
-		    return std::abs(_x - _y) < k_rounding;
+		    return std::abs(_x - _y) < k_rounding_error;
 	    });
 }
 
@@ -157,14 +159,14 @@
 	m_samples.push_back({_now, m_current});
 }
 
-double mix_limiter::lowest(std::size_t _region) const
+double mix_limiter::min_in_window(std::size_t _region) const
 {
-	double low = m_current[_region];
+	double minimum = m_current[_region];
 	for (const sample& one : m_samples)
 	{
-		low = std::min(low, one.shares[_region]);
+		minimum = std::min(minimum, one.shares[_region]);
 	}
-	return low;
+	return minimum;
 }
 
 const std::vector<double>& mix_limiter::advance(
@@ -175,7 +177,7 @@
 		reset(_target, _now);
 		return m_current;
 	}
-	// The newest sample at or before the window's start still counts: it was in force when the window began.
+	// The newest sample at or before the start of the window is kept: it was in effect when the window began.
 	while (1 < m_samples.size() && m_samples[1].at <= _now - m_window)
 	{
 		m_samples.pop_front();
@@ -185,11 +187,11 @@
 	std::vector<double> next = m_current;
 	for (std::size_t at = 0; at < next.size(); ++at)
 	{
-		// An even rate, so that caches warm as the shift goes and no window sees a jump.
-		const double limit = std::min(lowest(at) + m_cap, m_current[at] + gain);
+		// A constant rate, so that caches warm up during the shift and the share never jumps within a window.
+		const double limit = std::min(min_in_window(at) + m_cap, m_current[at] + gain);
 		next[at] = std::min(_target[at], limit);
 	}
-	keep_ungained(m_current, _open, next);
+	retain_unassigned(m_current, _open, next);
 	const bool moved = next != m_current;
 	if (moved && _now - m_samples.back().at < k_sample_gap)
 	{
--- a/src/larkrackd/peers_p.h
+++ b/src/larkrackd/peers_p.h
@@ -4,11 +4,11 @@
 /// @file
 /// Transport of control messages between entry VMs.
 ///
-/// Decides: who may connect (signed handshake, same protocol version) and when a peer is too slow to be
-/// kept.
-/// Owns: one outgoing connection to each peer that was sent to, and counters of its traffic. All of it is
-/// lost with the process and built again by the next message.
-/// Relies on: membership and anti-entropy to repeat news that were lost; it never sends a message twice.
+/// Decides: which peers may connect (signed handshake, same protocol version), and when the connection to a
+/// slow peer is closed.
+/// Owns: one outgoing connection to each peer that a message was sent to, and traffic counters. Both are lost
+/// with the process; the next message opens a connection again.
+/// Relies on: membership and anti-entropy to repeat lost updates; the transport never sends a message twice.
 #pragma once
 
 #include "base/clock_p.h"
@@ -25,7 +25,7 @@
 
 namespace larkrack
 {
-/// Messages, and their bytes without framing, since the start.
+/// Numbers of messages, and their bytes without framing, since the start of the process.
 struct peer_traffic
 {
 	std::uint64_t sent_messages = 0;
@@ -34,7 +34,7 @@
 	std::uint64_t received_bytes = 0;
 };
 
-/// Sends and receives messages. Delivery is best effort: a message may be lost, and is never repeated.
+/// Sends and receives messages. Delivery is best effort: a message may be lost and is never retransmitted.
 class peers_base : public service_base
 {
 public:
@@ -44,17 +44,17 @@
 	}
 	using receiver = std::function<void(const envelope&)>;
 
-	/// Sets who gets received messages.
+	/// Sets the callback for received messages.
 	virtual void on_message(receiver _receiver) = 0;
-	/// Sends to a peer; drops the message when the peer is slow or away.
+	/// Sends to a peer; drops the message when the peer is slow or unreachable.
 	virtual void send(const std::string& _vm, const endpoint& _where, const envelope& _envelope) = 0;
-	/// Drops messages to and from peers of these names. For tests.
+	/// Simulates a network partition for tests: drops messages to and from the named peers.
 	virtual void set_cut(std::set<std::string> _vms) = 0;
-	/// @returns Counters since the start.
+	/// @returns Traffic counters since the start.
 	virtual peer_traffic traffic() const = 0;
 };
 
-/// Websockets with CBOR; the handshake is signed with the shared secret.
+/// @returns A transport over WebSocket with CBOR messages; handshakes are signed with the shared secret.
 std::unique_ptr<peers_base> create_peers_websocket(
     boost::asio::io_context& _context, const settings& _settings, const clock_base& _clock);
 } // namespace larkrack
--- a/src/larkrackd/peers_websocket.cpp
+++ b/src/larkrackd/peers_websocket.cpp
@@ -18,27 +18,29 @@
 {
 namespace ws = websocketpp;
 
-/// Version of the messages; both sides must have the same.
+/// Version of the message protocol; both peers must have the same.
 constexpr const char* k_protocol = "1";
 constexpr const char* k_header_peer = "Larkrack-Peer";
 constexpr const char* k_header_sign = "Larkrack-Peer-Sign";
-/// Age of a signed handshake that is still accepted, either way. Longer tolerates more clock skew and gives a
-/// recorded handshake more time to be replayed. Not measured.
-constexpr std::chrono::seconds k_handshake_age{30};
-/// Bytes that may wait for a slow peer before it is dropped. It must hold a whole configuration
-/// (docs/CAPACITY.md); more costs memory for each slow peer. Not measured.
+/// Maximum age of a signed handshake, in both directions of clock skew. Longer tolerates more clock skew and
+/// gives a recorded handshake more time to be replayed.
+constexpr std::chrono::seconds k_max_handshake_age{30};
+/// Maximum number of bytes buffered for a slow peer before its connection is closed. The buffer must hold a
+/// whole configuration (docs/CAPACITY.md); more needs memory for each slow peer.
 constexpr std::size_t k_send_limit = 64ULL * 1024 * 1024;
-/// Bytes of one message that is accepted. Not measured.
+/// Maximum size of a received message in bytes.
 constexpr std::size_t k_message_limit = 256ULL * 1024 * 1024;
-/// Milliseconds for connecting and the handshake; the same as k_platform_deadline. Not measured.
+/// Timeout in milliseconds for connecting and the handshake; equal to k_platform_deadline.
 constexpr long k_connect_timeout_ms = 1500;
-/// Messages that wait for a connection to open; further ones are dropped, as heartbeats repeat their news.
-/// Not measured.
-constexpr std::size_t k_waiting_messages = 8;
+/// Maximum number of messages queued until a connection opens. Further messages are dropped, because
+/// heartbeats repeat their updates.
+constexpr std::size_t k_max_waiting_messages = 8;
 
 using server_type = ws::server<ws::config::asio>;
 using client_type = ws::client<ws::config::asio_client>;
 
+/// Transport over WebSocket: one server for incoming and one client for outgoing connections. Messages are
+/// sent on outgoing connections only.
 class peers_websocket : public peers_base
 {
 public:
@@ -63,14 +65,14 @@
 			return error{
 			    "listen", "can not listen on " + to_string(m_settings.peers) + ": " + failure.message()};
 		}
-		// It fails only when the server does not listen, which it does here.
+		// start_accept() fails only when the server does not listen.
 		m_server.start_accept(failure);
 		return std::nullopt;
 	}
 
 	void shutdown() override
 	{
-		// The process ends; what could not be closed in order is closed with it.
+		// Errors are ignored: the end of the process closes the remaining connections.
 		ws::lib::error_code ignored;
 		m_server.stop_listening(ignored);
 		for (auto& [vm, link] : m_links)
@@ -90,7 +92,7 @@
 
 	void send(const std::string& _vm, const endpoint& _where, const envelope& _envelope) override
 	{
-		if (0 < m_cut.count(_vm))
+		if (0 < m_partitioned.count(_vm))
 		{
 			return;
 		}
@@ -102,7 +104,7 @@
 		}
 		if (!to.connection || !to.open)
 		{
-			if (to.waiting.size() < k_waiting_messages)
+			if (to.waiting.size() < k_max_waiting_messages)
 			{
 				to.waiting.emplace_back(bytes.begin(), bytes.end());
 			}
@@ -113,7 +115,7 @@
 
 	void set_cut(std::set<std::string> _vms) override
 	{
-		m_cut = std::move(_vms);
+		m_partitioned = std::move(_vms);
 	}
 
 	peer_traffic traffic() const override
@@ -148,7 +150,7 @@
 		    });
 	}
 
-	std::string identity() const
+	std::string handshake_claim() const
 	{
 		return m_settings.name + "|" + m_settings.domain + "|" + k_protocol + "|" +
 		       std::to_string(to_us(m_clock.wall()));
@@ -157,23 +159,23 @@
 	bool validate(const ws::connection_hdl& _handle)
 	{
 		const auto connection = m_server.get_con_from_hdl(_handle);
-		const std::string who = connection->get_request_header(k_header_peer);
+		const std::string claim = connection->get_request_header(k_header_peer);
 		const std::string sign = connection->get_request_header(k_header_sign);
-		const std::size_t last = who.rfind('|');
-		const bool signed_well = std::string::npos != last && signer::same(m_signer.signature(who), sign);
-		std::string why = signed_well ? "" : "signature";
-		if (signed_well)
+		const std::size_t last = claim.rfind('|');
+		const bool is_signed = std::string::npos != last && signer::same(m_signer.signature(claim), sign);
+		std::string why = is_signed ? "" : "signature";
+		if (is_signed)
 		{
-			// A time that does not parse is 0, which is too old.
-			const std::int64_t at = std::strtoll(who.c_str() + last + 1, nullptr, 10);
+			// A malformed time parses as 0, which is too old.
+			const std::int64_t at = std::strtoll(claim.c_str() + last + 1, nullptr, 10);
 			const auto age = std::chrono::microseconds(to_us(m_clock.wall()) - at);
-			const bool fresh = age < k_handshake_age && -k_handshake_age < age;
-			const bool same_version = std::string::npos != who.find(std::string("|") + k_protocol + "|");
+			const bool fresh = age < k_max_handshake_age && -k_max_handshake_age < age;
+			const bool same_version = std::string::npos != claim.find(std::string("|") + k_protocol + "|");
 			why = !fresh ? "age" : (!same_version ? "version" : "");
 		}
 		if (!why.empty())
 		{
-			log_event(event::peer_refused, {{"peer", who.substr(0, 64)}, {"why", why}});
+			log_event(event::peer_refused, {{"peer", claim.substr(0, 64)}, {"why", why}});
 			connection->set_status(ws::http::status_code::forbidden);
 			return false;
 		}
@@ -185,10 +187,11 @@
 		++m_traffic.received_messages;
 		m_traffic.received_bytes += _bytes.size();
 		result<envelope> read = decode(_bytes);
-		// Peers are authenticated and speak the same version, so a message that can not be read is taken as
-		// lost: heartbeats and anti-entropy repeat its news. The same holds before somebody receives.
+		// Peers are authenticated and have the same protocol version, so a message that can not be decoded
+		// counts as lost: heartbeats and anti-entropy repeat its updates. The same holds while no receiver is
+		// set.
 		const envelope* message = value_of(read);
-		if (nullptr == message || 0 < m_cut.count(message->from) || !m_receiver)
+		if (nullptr == message || 0 < m_partitioned.count(message->from) || !m_receiver)
 		{
 			return;
 		}
@@ -201,20 +204,21 @@
 		auto connection = m_client.get_connection("ws://" + to_string(_where) + "/", failure);
 		if (failure)
 		{
-			// The address comes from a checked configuration. What waits is dropped; membership suspects the
-			// peer and logs that.
+			// The address comes from a validated configuration. Queued messages are dropped; membership
+			// suspects the peer and logs it.
 			return;
 		}
-		const std::string who = identity();
-		connection->append_header(k_header_peer, who);
-		connection->append_header(k_header_sign, m_signer.signature(who));
+		const std::string claim = handshake_claim();
+		connection->append_header(k_header_peer, claim);
+		connection->append_header(k_header_sign, m_signer.signature(claim));
 		connection->set_open_handshake_timeout(k_connect_timeout_ms);
 		connection->set_open_handler(
 		    [this, _vm](const ws::connection_hdl&)
 		    {
 			    opened(_vm);
 		    });
-		// Not logged: connections to a peer that is away fail at each heartbeat; membership logs the peer.
+		// Not logged: connections to an unreachable peer fail at each heartbeat, and membership logs the
+		// peer.
 		const auto lost = [this, _vm, raw = connection.get()](const ws::connection_hdl&)
 		{
 			closed(_vm, raw);
@@ -237,10 +241,10 @@
 		}
 	}
 
-	void closed(const std::string& _vm, const client_type::connection_type* _which)
+	void closed(const std::string& _vm, const client_type::connection_type* _connection)
 	{
 		const auto it = m_links.find(_vm);
-		if (m_links.end() != it && it->second.connection.get() == _which)
+		if (m_links.end() != it && it->second.connection.get() == _connection)
 		{
 			m_links.erase(it);
 		}
@@ -255,12 +259,12 @@
 		if (k_send_limit < _to.connection->get_buffered_amount() + _bytes.size())
 		{
 			log_event(event::peer_slow, {{"peer", _vm}});
-			// Closed already is as good: its close handler removes the link.
+			// An error means that the connection is already closed; its close handler removes the link.
 			ws::lib::error_code ignored;
 			_to.connection->terminate(ignored);
 			return;
 		}
-		// An error means that the connection is closing; its close handler follows.
+		// An error means that the connection is closing; its close handler removes the link.
 		if (_to.connection->send(_bytes, ws::frame::opcode::binary))
 		{
 			return;
@@ -277,7 +281,7 @@
 	client_type m_client;
 	receiver m_receiver;
 	std::map<std::string, link> m_links;
-	std::set<std::string> m_cut;
+	std::set<std::string> m_partitioned;
 	peer_traffic m_traffic;
 };
 } // namespace
--- a/src/larkrackd/prefix_table.cpp
+++ b/src/larkrackd/prefix_table.cpp
@@ -9,18 +9,19 @@
 {
 namespace
 {
-/// Bits of an IPv4 address that the index covers. More shortens the binary search and costs 4 << bits bytes
-/// (256 KB at 16). Other values were not measured.
+/// Number of upper bits of an IPv4 address that the index covers. More shortens the binary search and needs
+/// 4 << bits bytes (256 KB at 16).
 constexpr std::size_t k_index_bits = 16;
 constexpr std::size_t k_index_size = (std::size_t{1} << k_index_bits) + 1;
 
+/// Range of addresses from `first` up to the next range.
 struct flat_range
 {
 	wide_address first;
 	site_handle site;
 };
 
-wide_address last_of(const client_block& _block)
+wide_address last_address(const client_block& _block)
 {
 	wide_address last = _block.first;
 	const unsigned total = _block.v6 ? 128 : 32;
@@ -36,7 +37,7 @@
 	return last;
 }
 
-wide_address next_of(wide_address _address)
+wide_address next_address(wide_address _address)
 {
 	++_address.low;
 	if (0 == _address.low)
@@ -46,7 +47,7 @@
 	return _address;
 }
 
-bool outer_first(const client_block& _a, const client_block& _b)
+bool is_enclosing_first(const client_block& _a, const client_block& _b)
 {
 	if (_a.first == _b.first)
 	{
@@ -55,17 +56,18 @@
 	return _a.first < _b.first;
 }
 
-/// Walks sorted, nested blocks with a stack of the open ones and emits ranges without overlap.
+/// Converts nested blocks to disjoint ranges: sorts the blocks and keeps a stack of the blocks that contain
+/// the current address.
 class flattener
 {
 public:
-	std::vector<flat_range> run(std::vector<client_block>& _blocks)
+	std::vector<flat_range> flatten(std::vector<client_block>& _blocks)
 	{
-		std::stable_sort(_blocks.begin(), _blocks.end(), outer_first);
+		std::stable_sort(_blocks.begin(), _blocks.end(), is_enclosing_first);
 		emit({}, site_handle{});
 		for (const client_block& block : _blocks)
 		{
-			close_before(block.first);
+			close_ended_before(block.first);
 			emit(block.first, block.site);
 			m_open.push_back(block);
 		}
@@ -89,18 +91,18 @@
 			m_ranges.push_back({_first, _site});
 		}
 	}
-	void close_before(const wide_address& _first)
+	void close_ended_before(const wide_address& _first)
 	{
-		while (!m_open.empty() && last_of(m_open.back()) < _first)
+		while (!m_open.empty() && last_address(m_open.back()) < _first)
 		{
 			close_last();
 		}
 	}
 	void close_last()
 	{
-		const wide_address last = last_of(m_open.back());
+		const wide_address last = last_address(m_open.back());
 		m_open.pop_back();
-		const wide_address next = next_of(last);
+		const wide_address next = next_address(last);
 		if (next < last)
 		{
 			return;
@@ -113,7 +115,7 @@
 };
 } // namespace
 
-wide_address widen(const boost::asio::ip::address& _address)
+wide_address to_wide_address(const boost::asio::ip::address& _address)
 {
 	if (_address.is_v4())
 	{
@@ -131,29 +133,29 @@
 
 result<client_block> parse_block(const std::string& _text)
 {
-	const error bad{"bad_block", _text + " is not address/bits"};
+	const error invalid{"bad_block", _text + " is not a prefix of the form address/bits"};
 	const std::size_t slash = _text.find('/');
 	if (std::string::npos == slash || slash + 1 == _text.size() || slash + 4 < _text.size())
 	{
-		return bad;
+		return invalid;
 	}
 	const std::string digits = _text.substr(slash + 1);
 	if (std::string::npos != digits.find_first_not_of("0123456789"))
 	{
-		return bad;
+		return invalid;
 	}
 	boost::system::error_code failure;
 	const auto address = boost::asio::ip::make_address(_text.substr(0, slash), failure);
 	const int bits = std::stoi(digits);
 	if (failure || (address.is_v4() ? 32 : 128) < bits)
 	{
-		return bad;
+		return invalid;
 	}
 	client_block block;
 	block.v6 = address.is_v6();
 	block.bits = static_cast<std::uint8_t>(bits);
-	block.first = widen(address);
-	wide_address host_part = last_of({{}, block.bits, block.v6, {}});
+	block.first = to_wide_address(address);
+	wide_address host_part = last_address({{}, block.bits, block.v6, {}});
 	block.first.high &= ~host_part.high;
 	block.first.low &= ~host_part.low;
 	return block;
@@ -174,7 +176,7 @@
 
 void prefix_table::build_v4(std::vector<client_block>& _blocks)
 {
-	for (const flat_range& range : flattener().run(_blocks))
+	for (const flat_range& range : flattener().flatten(_blocks))
 	{
 		if (0 == (range.first.low >> 32))
 		{
@@ -198,7 +200,7 @@
 
 void prefix_table::build_v6(std::vector<client_block>& _blocks)
 {
-	for (const flat_range& range : flattener().run(_blocks))
+	for (const flat_range& range : flattener().flatten(_blocks))
 	{
 		m_v6_first.push_back(range.first);
 		m_v6_site.push_back(range.site);
@@ -213,7 +215,7 @@
 	{
 		return {};
 	}
-	const wide_address wide = widen(_address);
+	const wide_address wide = to_wide_address(_address);
 	if (_address.is_v6())
 	{
 		const auto it = std::upper_bound(m_v6_first.begin(), m_v6_first.end(), wide);
--- a/src/larkrackd/relay_mark.cpp
+++ b/src/larkrackd/relay_mark.cpp
@@ -9,9 +9,9 @@
 {
 namespace
 {
-/// Age of a mark that is still taken: for so long a mark that was overheard can be used again for its own id,
-/// and by so much may clocks differ. Not measured.
-constexpr std::chrono::seconds k_relay_age{30};
+/// Maximum age of a valid mark, also into the future. For this long an intercepted mark can be replayed for
+/// its own request id, and by this much clocks may differ.
+constexpr std::chrono::seconds k_max_mark_age{30};
 } // namespace
 
 std::string make_relay_mark(
@@ -25,16 +25,17 @@
 std::optional<request_origin> read_relay_mark(
     const signer& _signer, const std::string& _mark, const std::string& _id, wall_time _now)
 {
-	const std::size_t last = _mark.rfind(':');
-	if (std::string::npos == last ||
-	    !signer::same(_signer.signature(_mark.substr(0, last)), _mark.substr(last + 1)))
+	const std::size_t signature_colon = _mark.rfind(':');
+	if (std::string::npos == signature_colon ||
+	    !signer::same(_signer.signature(_mark.substr(0, signature_colon)), _mark.substr(signature_colon + 1)))
 	{
 		return std::nullopt;
 	}
-	const std::size_t before = _mark.rfind(':', last - 1);
-	const std::chrono::microseconds age(to_us(_now) - std::strtoll(_mark.c_str() + before + 1, nullptr, 10));
-	const std::string id = _mark.substr(_mark.find(':') + 1, before - _mark.find(':') - 1);
-	if (k_relay_age <= age || age <= -k_relay_age || id != _id)
+	const std::size_t time_colon = _mark.rfind(':', signature_colon - 1);
+	const std::chrono::microseconds age(
+	    to_us(_now) - std::strtoll(_mark.c_str() + time_colon + 1, nullptr, 10));
+	const std::string id = _mark.substr(_mark.find(':') + 1, time_colon - _mark.find(':') - 1);
+	if (k_max_mark_age <= age || age <= -k_max_mark_age || id != _id)
 	{
 		return std::nullopt;
 	}
--- a/src/larkrackd/tracer_otlp.cpp
+++ b/src/larkrackd/tracer_otlp.cpp
@@ -14,13 +14,13 @@
 {
 namespace
 {
-/// Spans that wait for an export; further ones are dropped. More costs memory. Not measured.
+/// Maximum number of spans queued for export; further spans are dropped. More needs memory.
 constexpr std::size_t k_queue_limit = 4096;
-/// Time between two exports. Shorter needs less queue and more calls. Not measured.
+/// Time between two exports. Shorter needs a smaller queue and more calls.
 constexpr std::chrono::milliseconds k_export_interval{500};
-/// Deadline of one export. Not measured.
+/// Timeout of one export.
 constexpr std::chrono::milliseconds k_export_timeout{1000};
-// Sizes of the W3C form "00-<trace>-<span>-<flags>", in characters.
+// Sizes in the W3C format "00-<trace>-<span>-<flags>", in characters.
 constexpr std::size_t k_traceparent_size = 55;
 constexpr std::size_t k_trace_digits = 32;
 constexpr std::size_t k_span_digits = 16;
@@ -49,6 +49,7 @@
 	return !_text.empty() && std::string::npos == _text.find_first_not_of("0123456789abcdef");
 }
 
+/// Identity of a span behind the OpenTracing interface. Baggage is not supported.
 class span_context_otlp : public opentracing::SpanContext
 {
 public:
@@ -74,6 +75,8 @@
 	trace_identity identity;
 };
 
+/// Span that passes itself to the tracer when finished. Baggage and logs are ignored; tags are converted to
+/// text.
 class span_otlp : public opentracing::Span
 {
 public:
@@ -183,7 +186,7 @@
 trace_identity parse_traceparent(const std::string& _header)
 {
 	trace_identity identity;
-	// A header that is no traceparent counts as none, as W3C Trace Context asks; it is the caller's mistake.
+	// A malformed header is ignored, as W3C Trace Context requires.
 	if (k_traceparent_size > _header.size() || 0 != _header.compare(0, 3, "00-"))
 	{
 		return identity;
@@ -282,18 +285,18 @@
     const char* _name, const std::string& _traceparent, std::string& _child) const
 {
 	const trace_identity parent = parse_traceparent(_traceparent);
-	const bool drawn = parent.trace_id.empty() && 0.0 < m_share &&
-	                   std::uniform_real_distribution<double>(0.0, 1.0)(random_of_thread()) < m_share;
-	if (!parent.sampled && !drawn)
+	const bool sampled_here = parent.trace_id.empty() && 0.0 < m_share &&
+	                          std::uniform_real_distribution<double>(0.0, 1.0)(random_of_thread()) < m_share;
+	if (!parent.sampled && !sampled_here)
 	{
 		_child = _traceparent;
 		return nullptr;
 	}
-	const span_context_otlp above(parent);
+	const span_context_otlp parent_context(parent);
 	opentracing::StartSpanOptions options;
 	if (!parent.trace_id.empty())
 	{
-		options.references.emplace_back(opentracing::SpanReferenceType::ChildOfRef, &above);
+		options.references.emplace_back(opentracing::SpanReferenceType::ChildOfRef, &parent_context);
 	}
 	auto span = StartSpanWithOptions(_name, options);
 	_child = to_traceparent(dynamic_cast<const span_context_otlp&>(span->context()).identity);
@@ -341,12 +344,12 @@
 
 std::optional<error> tracer_service::init(kernel& _kernel)
 {
-	const settings& ours = _kernel.find<settings_service>("settings")->get();
-	m_tracer = std::make_shared<tracer_otlp>(ours.name, ours.trace_share);
-	m_file = ours.trace_file;
-	if (!ours.trace_http.empty())
+	const settings& own = _kernel.find<settings_service>("settings")->get();
+	m_tracer = std::make_shared<tracer_otlp>(own.name, own.trace_share);
+	m_file = own.trace_file;
+	if (!own.trace_http.empty())
 	{
-		result<endpoint> collector = parse_endpoint(ours.trace_http);
+		result<endpoint> collector = parse_endpoint(own.trace_http);
 		if (const error* failure = std::get_if<error>(&collector))
 		{
 			return *failure;
@@ -357,14 +360,14 @@
 	    [this](const yield_context& _yield)
 	    {
 		    http_caller caller(m_context.get_executor());
-		    std::uint64_t told = 0;
+		    std::uint64_t logged_drops = 0;
 		    while (!m_stopping)
 		    {
 			    sleep_for(m_context.get_executor(), k_export_interval, _yield);
-			    if (told < m_tracer->dropped())
+			    if (logged_drops < m_tracer->dropped())
 			    {
-				    told = m_tracer->dropped();
-				    log_event(event::trace_dropped, {{"dropped", told}});
+				    logged_drops = m_tracer->dropped();
+				    log_event(event::trace_dropped, {{"dropped", logged_drops}});
 			    }
 			    if (!m_collector)
 			    {
@@ -374,7 +377,8 @@
 			    const std::string body = m_tracer->drain();
 			    if (!body.empty())
 			    {
-				    // An export that fails loses its spans. Not logged: it would be a line every interval.
+				    // A failed export loses its spans. Failures are not logged, because that would be a line
+				    // per interval.
 				    caller.call(*m_collector,
 				        make_request(http::verb::post, "/v1/traces", *m_collector, body), k_export_timeout,
 				        _yield);
@@ -387,7 +391,7 @@
 void tracer_service::write_file()
 {
 	const std::string body = m_tracer->drain();
-	// Spans that the disk does not take are lost, and traffic goes on.
+	// A write error loses the spans; tracing never affects traffic.
 	if (!body.empty() && !m_file.empty())
 	{
 		std::ofstream(m_file, std::ios::app) << body << '\n';
--- a/src/larkrackd/tracer_p.h
+++ b/src/larkrackd/tracer_p.h
@@ -2,14 +2,15 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Tracing: spans by the OpenTracing interface; W3C traceparent in and out; OTLP/JSON to a file or a
-/// collector.
+/// Tracing: spans through the OpenTracing interface, W3C traceparent propagation, and export as OTLP/JSON to
+/// a file or a collector.
 ///
-/// Decides: which requests are traced: those whose caller sampled them, and a drawn part (trace_share, 0 to
-/// 1) of those without a trace.
-/// Owns: a bounded queue of finished spans. A full queue drops spans and counts them (event trace_dropped);
-/// an export that fails loses its spans, because traces must never hold up traffic.
-/// Relies on: settings for file or collector. Times in microseconds since 1970, nanoseconds on the wire.
+/// Decides: which requests are traced: those that the caller sampled, and a random fraction (trace_share, 0
+/// to 1) of those without a trace.
+/// Owns: a bounded queue of finished spans. When the queue is full, spans are dropped and counted (event
+/// trace_dropped); a failed export loses its spans, because tracing must never delay traffic.
+/// Relies on: settings for the file or the collector.
+/// Units: times in microseconds since 1970, nanoseconds on the wire.
 #pragma once
 
 #include "base/kernel_p.h"
@@ -33,7 +34,8 @@
 	bool sampled = false;
 };
 
-/// @returns The identity in a traceparent header; not sampled when there is none.
+/// @returns The identity in a traceparent header; empty and not sampled when the header is empty or
+/// malformed.
 trace_identity parse_traceparent(const std::string& _header);
 /// @returns A traceparent header.
 std::string to_traceparent(const trace_identity& _identity);
@@ -49,7 +51,8 @@
 	std::vector<std::pair<std::string, std::string>> tags;
 };
 
-/// Makes spans and exports them. Never blocks traffic: when the queue is full, spans are dropped and counted.
+/// Creates spans and queues the finished ones for export. Never blocks traffic: when the queue is full, spans
+/// are dropped and counted.
 class tracer_otlp : public opentracing::Tracer, public std::enable_shared_from_this<tracer_otlp>
 {
 public:
@@ -72,15 +75,16 @@
 
 	/// Starts a span for one hop.
 	/// @param[in] _traceparent Header of the request; may be empty.
-	/// @param[out] _child Header for the next hop; empty when the trace is not sampled.
-	/// @returns Null when the trace is not sampled.
+	/// @param[out] _child Header for the next hop; the unchanged _traceparent when the trace is not sampled.
+	/// @returns The span; null when the trace is not sampled.
 	std::unique_ptr<opentracing::Span> start_hop(
 	    const char* _name, const std::string& _traceparent, std::string& _child) const;
-	/// Takes a finished span. Called by spans.
+	/// Queues a finished span for export. Called by spans.
 	void finish(finished_span _span) const;
-	/// @returns Finished spans as one OTLP/JSON export; empty when there are none.
+	/// Empties the queue.
+	/// @returns The finished spans as one OTLP/JSON export; empty when there are none.
 	std::string drain();
-	/// @returns Spans dropped so far.
+	/// @returns Number of spans dropped so far.
 	std::uint64_t dropped() const;
 
 private:
@@ -91,7 +95,7 @@
 	mutable std::uint64_t m_dropped = 0;
 };
 
-/// Owns the tracer and its export.
+/// Owns the tracer and exports its spans at regular intervals.
 class tracer_service : public service_base
 {
 public:
--- a/src/larkrackd/traffic.cpp
+++ b/src/larkrackd/traffic.cpp
@@ -8,19 +8,19 @@
 namespace larkrack
 {
 traffic::worker::worker(const kernel& _kernel, retry_token_bucket& _budget)
-    : carry(context, _kernel, _budget),
+    : request_carrier(context, _kernel, _budget),
       callers(context,
           [this](http_session& _session, http_request& _request, const yield_context& _yield)
           {
 	          ++in_flight;
-	          carry.handle_caller(_session, _request, _yield);
+	          request_carrier.handle_caller(_session, _request, _yield);
 	          --in_flight;
           }),
       relays(context,
           [this](http_session& _session, http_request& _request, const yield_context& _yield)
           {
 	          ++in_flight;
-	          carry.handle_relay(_session, _request, _yield);
+	          request_carrier.handle_relay(_session, _request, _yield);
 	          --in_flight;
           })
 {
@@ -28,14 +28,14 @@
 
 std::optional<error> traffic::init(kernel& _kernel)
 {
-	const settings& ours = _kernel.find<settings_service>("settings")->get();
-	const bool shared = 1 < ours.traffic_threads;
-	for (std::size_t at = 0; at < ours.traffic_threads; ++at)
+	const settings& own = _kernel.find<settings_service>("settings")->get();
+	const bool shared = 1 < own.traffic_threads;
+	for (std::size_t at = 0; at < own.traffic_threads; ++at)
 	{
 		m_workers.push_back(std::make_unique<worker>(_kernel, m_budget));
 		worker& one = *m_workers.back();
-		std::optional<error> failure = one.callers.listen(ours.callers, shared);
-		failure = failure ? failure : one.relays.listen(ours.relay, shared);
+		std::optional<error> failure = one.callers.listen(own.callers, shared);
+		failure = failure ? failure : one.relays.listen(own.relay, shared);
 		if (failure)
 		{
 			return failure;
--- a/src/larkrackd/traffic_p.h
+++ b/src/larkrackd/traffic_p.h
@@ -2,12 +2,12 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Traffic threads: each with its own listeners, connections and carrier.
+/// Traffic threads, each with its own listeners, connections and carrier.
 ///
-/// For: carrying requests without sharing connections between threads; what must be exact (gate, key_table)
-/// is shared behind short locks, the control state is read from snapshots (traffic_view).
-/// Owns: the threads, their I/O contexts and connections, and one retry budget for all of them.
-/// Relies on: node for the order of a planned stop (begin_stop, stop_accepting, shutdown).
+/// For: serving requests without sharing connections between threads. State that must be exact (gate,
+/// key_table) is shared under short locks; the control state is read from snapshots (traffic_view).
+/// Owns: the threads, their I/O contexts and connections, and the retry token bucket that all threads share.
+/// Relies on: node to call begin_stop, stop_accepting and shutdown in this order at a planned stop.
 #pragma once
 
 #include "larkrackd/carrier_p.h"
@@ -28,11 +28,12 @@
 	}
 	std::optional<error> init(kernel& _kernel) override;
 	void shutdown() override;
-	/// Asks callers and entry VMs, answer by answer, to leave their connections.
+	/// Closes connections of callers and entry VMs gracefully: each further response asks its client to
+	/// close.
 	void begin_stop();
-	/// Accepts no more connections from callers and entry VMs.
+	/// Stops accepting connections from callers and entry VMs.
 	void stop_accepting();
-	/// @returns Requests in flight in all threads.
+	/// @returns Number of requests in flight in all threads.
 	int in_flight() const;
 
 private:
@@ -41,14 +42,14 @@
 	{
 		worker(const kernel& _kernel, retry_token_bucket& _budget);
 		asio::io_context context{1};
-		carrier carry;
+		carrier request_carrier;
 		http_server callers;
 		http_server relays;
 		std::thread thread;
 		std::atomic<int> in_flight{0};
 	};
 
-	/// Takes a step of the planned stop in each thread.
+	/// Posts a step of the planned stop to both servers of each thread.
 	void post_to_servers(void (http_server::*_step)());
 
 	retry_token_bucket m_budget;
--- a/src/larkrackd/traffic_view_p.h
+++ b/src/larkrackd/traffic_view_p.h
@@ -2,12 +2,12 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// What traffic threads see of the control state: one immutable snapshot, swapped by pointer.
+/// Immutable snapshot of the control state for traffic threads, replaced by an atomic pointer swap.
 ///
-/// For: a request is handled under one consistent state, and no traffic thread waits for the control
+/// For: each request is handled under one consistent state, and no traffic thread waits for the control
 /// thread.
-/// Owns: view_publisher holds the newest snapshot; a request keeps the one it began with alive.
-/// Relies on: control, which publishes several times in a heartbeat interval and after each change.
+/// Owns: view_publisher holds the newest snapshot; each request holds the snapshot that it started with.
+/// Relies on: control, which publishes several times per heartbeat interval and after each change.
 #pragma once
 
 #include "larkrackd/gate_p.h"
@@ -21,23 +21,23 @@
 
 namespace larkrack
 {
-/// An entry VM as traffic threads see it.
+/// State of one entry VM.
 struct peer_view
 {
 	bool alive = false;
-	bool leaving = false; ///< Gets no new look-ups and no relays.
+	bool leaving = false; ///< Stopping or drained: not listed in look-ups, gets no relayed requests.
 	incarnation life;
-	std::vector<service_headroom> rooms; ///< Its slots as it last reported them, by service handle.
+	std::vector<service_headroom> rooms; ///< Last reported headroom, by service handle.
 };
 
-/// One service as traffic threads see it.
+/// State of one service.
 struct service_view
 {
-	mix plan;               ///< Which region serves the callers of each home region.
-	std::vector<bool> open; ///< By region handle: some entry VM there can serve.
+	mix plan;               ///< Distribution of the callers of each home region among regions.
+	std::vector<bool> open; ///< By region handle: whether some entry VM there can serve.
 };
 
-/// One snapshot. Handles are those of its own policy.
+/// One snapshot. Handles are valid for its own policy only.
 struct traffic_view
 {
 	policy_ptr rules;
@@ -47,11 +47,11 @@
 	std::vector<peer_view> peers;       ///< By entry VM handle.
 	std::vector<service_view> services; ///< By service handle.
 	bool stopping = false;
-	bool first_life = false; ///< No earlier process of this entry VM can have run a key.
+	bool first_life = false; ///< No earlier incarnation of this entry VM can have run a key.
 };
 using view_ptr = std::shared_ptr<const traffic_view>;
 
-/// Hands snapshots from the control thread to traffic threads.
+/// Passes snapshots from the control thread to traffic threads. Thread-safe.
 class view_publisher : public service_base
 {
 public:
@@ -63,7 +63,7 @@
 	{
 		std::atomic_store(&m_view, std::move(_view));
 	}
-	/// @returns The newest snapshot; null before the first.
+	/// @returns The newest snapshot; null before the first publish().
 	view_ptr get() const
 	{
 		return std::atomic_load(&m_view);
--- a/tests/hash_test.cpp
+++ b/tests/hash_test.cpp
@@ -2,7 +2,8 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Hashes that nodes agree on: their values stay, and rendezvous hashing moves few keys.
+/// Tests of hash_p.h: known values don't change, and rendezvous hashing moves few keys when a name is
+/// removed.
 
 #include "fixtures.h"
 
@@ -11,31 +12,32 @@
 
 namespace larkrack
 {
-/// The values were computed with the code that hash_p.h replaced.
+/// The expected values were computed with the implementation before hash_p.h. A different value would let
+/// nodes of different versions decide differently during a deployment.
 class hash_test : public CppUnit::TestFixture
 {
 	CPPUNIT_TEST_SUITE(hash_test);
-	CPPUNIT_TEST(weight_of_known_names_is_as_before);
-	CPPUNIT_TEST(hash_of_known_record_is_as_before);
-	CPPUNIT_TEST(point_of_known_caller_is_as_before);
+	CPPUNIT_TEST(weight_of_known_names_is_unchanged);
+	CPPUNIT_TEST(hash_of_known_record_is_unchanged);
+	CPPUNIT_TEST(point_of_known_caller_is_unchanged);
 	CPPUNIT_TEST(names_when_ranked_are_by_weight_and_bounded);
-	CPPUNIT_TEST(names_when_one_leaves_keep_their_order);
+	CPPUNIT_TEST(names_when_one_is_removed_keep_their_order);
 	CPPUNIT_TEST_SUITE_END();
 
 public:
-	void weight_of_known_names_is_as_before()
+	void weight_of_known_names_is_unchanged()
 	{
 		CPPUNIT_ASSERT_EQUAL(
 		    std::uint64_t{5212909207645226862ULL}, rendezvous_weight("navarra-a/cuenta", "edge-1"));
 		CPPUNIT_ASSERT_EQUAL(std::uint64_t{16357401198292624001ULL}, rendezvous_weight("delegate", "edge-2"));
 	}
 
-	void hash_of_known_record_is_as_before()
+	void hash_of_known_record_is_unchanged()
 	{
 		CPPUNIT_ASSERT_EQUAL(std::uint64_t{352323326080244491ULL}, hash64("owner/navarra-a/cuenta", 7));
 	}
 
-	void point_of_known_caller_is_as_before()
+	void point_of_known_caller_is_unchanged()
 	{
 		const double point = point_of(boost::asio::ip::make_address("10.1.0.7"), "cuenta");
 		CPPUNIT_ASSERT_DOUBLES_EQUAL(0.38777063567405434, point, 1e-16);
@@ -49,7 +51,7 @@
 		CPPUNIT_ASSERT(rendezvous_first("reader", {}, 2).empty());
 	}
 
-	void names_when_one_leaves_keep_their_order()
+	void names_when_one_is_removed_keep_their_order()
 	{
 		const std::vector<std::string> expected = {"d", "a", "b"};
 		CPPUNIT_ASSERT(expected == rendezvous_first("reader", {"a", "b", "d"}, 3));
--- a/tests/mix_test.cpp
+++ b/tests/mix_test.cpp
@@ -2,7 +2,8 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Division of traffic among regions and the limit on how fast it moves.
+/// Tests of mix, mix_limiter and shift conditions: distribution of traffic among regions, and the limit on
+/// how fast shares move.
 
 #include "fixtures.h"
 
@@ -22,13 +23,13 @@
 	CPPUNIT_TEST(plan_when_shares_equal_demand_keeps_callers_home);
 	CPPUNIT_TEST(plan_when_share_grows_takes_from_others_only);
 	CPPUNIT_TEST(choice_when_point_is_same_is_same);
-	CPPUNIT_TEST(closed_when_one_region_moves_its_share_in_proportion);
+	CPPUNIT_TEST(shares_when_region_closed_move_in_proportion);
 	CPPUNIT_TEST(shares_when_all_open_are_not_rounded);
-	CPPUNIT_TEST(advance_when_target_is_far_gains_at_cap_pace);
-	CPPUNIT_TEST(advance_when_region_closed_leaves_the_rest_unassigned);
-	CPPUNIT_TEST(lowered_when_capacity_returns_regains_at_cap_pace);
+	CPPUNIT_TEST(advance_when_target_is_far_gains_at_cap_rate);
+	CPPUNIT_TEST(advance_when_region_closed_leaves_rest_unassigned);
+	CPPUNIT_TEST(share_when_lowered_regains_at_cap_rate);
 	CPPUNIT_TEST(gain_when_targets_are_random_never_exceeds_cap_in_any_window);
-	CPPUNIT_TEST(shift_when_target_has_no_room_waits);
+	CPPUNIT_TEST(shift_when_target_has_no_headroom_waits);
 	CPPUNIT_TEST(shift_when_target_is_cold_waits);
 	CPPUNIT_TEST(goal_when_domains_of_region_drained_moves_away);
 	CPPUNIT_TEST_SUITE_END();
@@ -72,7 +73,7 @@
 		CPPUNIT_ASSERT(region_handle{1} == plan.choose({1}, 0.9));
 	}
 
-	void closed_when_one_region_moves_its_share_in_proportion()
+	void shares_when_region_closed_move_in_proportion()
 	{
 		const std::vector<double> shares = without_closed({0.5, 0.3, 0.2}, {false, true, true});
 		CPPUNIT_ASSERT(near(0.0, shares[0]));
@@ -88,7 +89,7 @@
 		CPPUNIT_ASSERT(!is_same_division(shares, {0.26, 0.49, 0.25}));
 	}
 
-	void advance_when_target_is_far_gains_at_cap_pace()
+	void advance_when_target_is_far_gains_at_cap_rate()
 	{
 		clock_virtual clock;
 		mix_limiter limiter(0.1, std::chrono::seconds(10));
@@ -102,7 +103,7 @@
 		CPPUNIT_ASSERT_DOUBLES_EQUAL(0.4, limiter.current()[1], 0.002);
 	}
 
-	void advance_when_region_closed_leaves_the_rest_unassigned()
+	void advance_when_region_closed_leaves_rest_unassigned()
 	{
 		clock_virtual clock;
 		mix_limiter limiter(0.1, std::chrono::seconds(10));
@@ -113,7 +114,7 @@
 		CPPUNIT_ASSERT_DOUBLES_EQUAL(0.51, limiter.current()[1], 1e-9);
 	}
 
-	void lowered_when_capacity_returns_regains_at_cap_pace()
+	void share_when_lowered_regains_at_cap_rate()
 	{
 		clock_virtual clock;
 		mix_limiter limiter(0.1, std::chrono::seconds(10));
@@ -158,7 +159,7 @@
 		CPPUNIT_ASSERT(held);
 	}
 
-	void shift_when_target_has_no_room_waits()
+	void shift_when_target_has_no_headroom_waits()
 	{
 		const region_room full{true, 100, 99, 100, false};
 		const region_room free{true, 100, 10, 100, false};
