--- a/src/larkrackd/carrier.cpp
+++ b/src/larkrackd/carrier.cpp
@@ -191,9 +191,9 @@
 		return reason::unknown_service;
 	}
 	const std::string deadline = header_of(request, k_header_deadline);
-	const auto max_deadline = _call.view->rules->at(_call.service).deadline;
+	const auto default_deadline = _call.view->rules->at(_call.service).deadline;
 	const auto requested =
-	    std::chrono::milliseconds(deadline.empty() ? max_deadline.count() : std::atoll(deadline.c_str()));
+	    std::chrono::milliseconds(deadline.empty() ? default_deadline.count() : std::atoll(deadline.c_str()));
 	_call.deadline = m_clock.steady() + requested;
 	return std::nullopt;
 }
--- a/src/larkrackd/lookup.cpp
+++ b/src/larkrackd/lookup.cpp
@@ -185,15 +185,15 @@
 		++at;
 	}
 	const prepared_answer& chosen = all[at];
-	grant issued;
-	issued.service = rules.at(_service).name;
-	issued.entry_vm = rules.at(chosen.first).name;
-	issued.life = _view->peers[chosen.first.idx].life;
-	issued.issued = _now;
-	issued.expires = _now + k_grant_life;
-	issued.nonce = m_random();
+	grant issued_grant;
+	issued_grant.service = rules.at(_service).name;
+	issued_grant.entry_vm = rules.at(chosen.first).name;
+	issued_grant.life = _view->peers[chosen.first.idx].life;
+	issued_grant.issued = _now;
+	issued_grant.expires = _now + k_grant_life;
+	issued_grant.nonce = m_random();
 	std::string text = chosen.text;
 	text.pop_back();
-	return text + ",\"grant\":\"" + _signer.sign(issued) + "\"}";
+	return text + ",\"grant\":\"" + _signer.sign(issued_grant) + "\"}";
 }
 } // namespace larkrack
