--- a/tests/forms/programs.py
+++ b/tests/forms/programs.py
@@ -320,9 +320,9 @@
             self.served += 1
             headers = {"Request-Id": request.headers["request-id"]}
             if 1 == self.served:
-                writer.write(wire.answer(503, {**headers, "Not-Executed": "1"}))
+                writer.write(wire.response(503, {**headers, "Not-Executed": "1"}))
             else:
-                writer.write(wire.answer(200, {**headers, "Response-Signature": "s"}, b"fine"))
+                writer.write(wire.response(200, {**headers, "Response-Signature": "s"}, b"fine"))
         writer.close()
 
     async def pay(self, number):
