--- a/tests/forms/backend_request_form_test.cpp
+++ b/tests/forms/backend_request_form_test.cpp
@@ -2,7 +2,8 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// What larkrack-edge sends to backend servers and to callers, and the lines of its log about it.
+/// Pins the bytes that larkrack-edge sends to backend servers and to callers, and its log lines about
+/// requests.
 
 #include "entry_fixture.h"
 
@@ -10,11 +11,11 @@
 
 namespace larkrack
 {
-/// Takes what a backend server is sent byte by byte, and answers with a plain answer.
-class byte_taker
+/// A fake backend server that records all bytes it receives and sends one fixed response.
+class byte_recorder
 {
 public:
-	explicit byte_taker(asio::io_context& _context)
+	explicit byte_recorder(asio::io_context& _context)
 	    : m_acceptor(_context, tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0)), m_socket(_context)
 	{
 		m_acceptor.async_accept(m_socket,
@@ -32,7 +33,7 @@
 	}
 
 	std::string bytes;
-	std::string last_bytes; ///< The answer is sent once these have come.
+	std::string last_bytes; ///< The response is sent once the received bytes end with these.
 	std::string answer;
 
 private:
@@ -68,9 +69,9 @@
 	CPPUNIT_TEST_SUITE(backend_request_form_test);
 	CPPUNIT_TEST(request_with_body_has_the_known_bytes);
 	CPPUNIT_TEST(request_without_body_has_the_known_bytes);
-	CPPUNIT_TEST(request_chunked_goes_on_with_its_length);
-	CPPUNIT_TEST(answer_of_a_backend_server_goes_back_with_the_known_bytes);
-	CPPUNIT_TEST(refusal_has_the_known_bytes_and_a_pause_with_two_decimals);
+	CPPUNIT_TEST(request_chunked_is_forwarded_with_its_length);
+	CPPUNIT_TEST(response_of_a_backend_server_is_returned_with_the_known_bytes);
+	CPPUNIT_TEST(refusal_has_the_known_bytes_and_retry_after_with_two_decimals);
 	CPPUNIT_TEST(request_without_route_gets_the_known_bytes);
 	CPPUNIT_TEST(log_lines_of_requests_have_the_known_keys_in_order);
 	CPPUNIT_TEST_SUITE_END();
@@ -79,33 +80,34 @@
 	void tearDown() override
 	{
 		m_context->stop();
-		m_taker.reset();
+		m_recorder.reset();
 		entry_fixture::tearDown();
 	}
 
 protected:
-	void add_taker()
+	void add_recorder()
 	{
-		m_taker = std::make_unique<byte_taker>(*m_context);
-		m_taker->answer = "HTTP/1.1 200 OK\r\nLarkrack-Request-Id: r1\r\nLarkrack-Signature: s\r\n"
-		                  "Content-Length: 4\r\n\r\nfine";
+		m_recorder = std::make_unique<byte_recorder>(*m_context);
+		m_recorder->answer = "HTTP/1.1 200 OK\r\nLarkrack-Request-Id: r1\r\nLarkrack-Signature: s\r\n"
+		                     "Content-Length: 4\r\n\r\nfine";
 		backend_record record;
 		record.id = backend_id("b1");
 		record.service = service_name("shop");
 		record.domain = domain_name("east-a");
 		record.slots = 3;
-		record.address = m_taker->address();
+		record.address = m_recorder->address();
 		m_registry->put(record, m_clock.steady());
 	}
 
-	/// @returns What the backend server was sent; the milliseconds that are left stand as "{ms}".
+	/// @returns The bytes that the backend server received, with the remaining milliseconds replaced by
+	/// "{ms}".
 	std::string sent_bytes(const std::string& _request, const std::string& _last_bytes = "\r\n\r\n")
 	{
 		set_routes();
-		add_taker();
-		m_taker->last_bytes = _last_bytes;
+		add_recorder();
+		m_recorder->last_bytes = _last_bytes;
 		CPPUNIT_ASSERT_EQUAL(200U, ask(_request).result_int());
-		std::string bytes = m_taker->bytes;
+		std::string bytes = m_recorder->bytes;
 		const std::string name = "Larkrack-Deadline-Ms: ";
 		const std::size_t begin = bytes.find(name) + name.size();
 		const std::size_t end = bytes.find("\r\n", begin);
@@ -146,7 +148,7 @@
 		               "Larkrack-Deadline-Ms: 1500\r\n\r\n"));
 	}
 
-	void request_chunked_goes_on_with_its_length()
+	void request_chunked_is_forwarded_with_its_length()
 	{
 		CPPUNIT_ASSERT_EQUAL(std::string("POST /pay/1 HTTP/1.1\r\n"
 		                                 "Host: shop.example\r\n"
@@ -162,8 +164,8 @@
 		        "\r\n\r\nabcde"));
 	}
 
-	/// @returns All bytes of the answer on a connection that the caller asked to end.
-	std::string answered_bytes(const std::string& _request)
+	/// @returns All bytes that a caller receives until the connection is closed.
+	std::string received_bytes(const std::string& _request)
 	{
 		tcp::socket socket(*m_context);
 		socket.connect(m_listener->address());
@@ -183,12 +185,12 @@
 		return bytes;
 	}
 
-	void answer_of_a_backend_server_goes_back_with_the_known_bytes()
+	void response_of_a_backend_server_is_returned_with_the_known_bytes()
 	{
 		set_routes();
-		add_taker();
-		m_taker->last_bytes = "\r\n\r\n";
-		m_taker->answer =
+		add_recorder();
+		m_recorder->last_bytes = "\r\n\r\n";
+		m_recorder->answer =
 		    "HTTP/1.1 201 Made\r\nLarkrack-Request-Id: r1\r\nLarkrack-Signature: s\r\n"
 		    "Larkrack-Load: 1 2 3\r\nX-Own: 7\r\nConnection: X-Hop\r\nX-Hop: 1\r\nKeep-Alive: 5\r\n"
 		    "Transfer-Encoding: chunked\r\n\r\n4\r\nfine\r\n0\r\n\r\n";
@@ -201,15 +203,15 @@
 		                                 "Content-Length: 4\r\n"
 		                                 "\r\n"
 		                                 "fine"),
-		    answered_bytes(request("GET", "/read/1", "r1", "Connection: close\r\n")));
+		    received_bytes(request("GET", "/read/1", "r1", "Connection: close\r\n")));
 	}
 
-	void refusal_has_the_known_bytes_and_a_pause_with_two_decimals()
+	void refusal_has_the_known_bytes_and_retry_after_with_two_decimals()
 	{
 		set_routes();
 		for (int i = 0; i < 50; ++i)
 		{
-			std::string bytes = answered_bytes(request("GET", "/read/1", "r1", "Connection: close\r\n"));
+			std::string bytes = received_bytes(request("GET", "/read/1", "r1", "Connection: close\r\n"));
 			const std::string name = "Retry-After: ";
 			const std::size_t begin = bytes.find(name) + name.size();
 			const std::string pause = bytes.substr(begin, bytes.find("\r\n", begin) - begin);
@@ -222,7 +224,7 @@
 			                                 "Content-Length: 0\r\n"
 			                                 "\r\n"),
 			    bytes.replace(begin, pause.size(), "{s}"));
-			m_forwarder->begin_stop(); // Refused at once from now on, with the same bytes.
+			m_forwarder->begin_stop(); // From now on requests are refused at once, with the same bytes.
 		}
 	}
 
@@ -233,10 +235,10 @@
 		                                 "Connection: close\r\n"
 		                                 "Content-Length: 0\r\n"
 		                                 "\r\n"),
-		    answered_bytes(request("GET", "/other/1", "r1", "Connection: close\r\n")));
+		    received_bytes(request("GET", "/other/1", "r1", "Connection: close\r\n")));
 	}
 
-	/// @returns Lines of the log without their time, with all figures of time as 0.
+	/// @returns The lines of the log, with times and durations replaced by 0.
 	std::vector<std::string> lines_from(int _descriptor)
 	{
 		m_log->flush();
@@ -289,7 +291,7 @@
 		    lines[2]);
 	}
 
-	std::unique_ptr<byte_taker> m_taker;
+	std::unique_ptr<byte_recorder> m_recorder;
 };
 
 CPPUNIT_TEST_SUITE_REGISTRATION(backend_request_form_test);
--- a/tests/forms/crash_form_test.cpp
+++ b/tests/forms/crash_form_test.cpp
@@ -2,7 +2,7 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// The datagrams by which nodes tell of requests that end backend servers, byte by byte.
+/// Pins the bytes of the datagrams by which nodes report requests that crash backend servers.
 
 #include "fixtures.h"
 #include "forms/golden.h"
@@ -16,7 +16,7 @@
 	CPPUNIT_TEST_SUITE(crash_form_test);
 	CPPUNIT_TEST(messages_have_the_known_bytes);
 	CPPUNIT_TEST(messages_are_read_back);
-	CPPUNIT_TEST(bytes_that_are_absurd_are_refused);
+	CPPUNIT_TEST(bytes_invalid_are_refused);
 	CPPUNIT_TEST_SUITE_END();
 
 protected:
@@ -68,7 +68,7 @@
 		CPPUNIT_ASSERT(k_request == read_back(look_returned{k_request}).request);
 	}
 
-	void bytes_that_are_absurd_are_refused()
+	void bytes_invalid_are_refused()
 	{
 		for (const char* hex : {"", "88", "8801", "88186c01020300000000", "88187301020300000000",
 		         "88186d0102031a0000000001", "88186d01022003000000", "88186d0102031b0000000100000000000000",
--- a/tests/forms/daemon_forms.h
+++ b/tests/forms/daemon_forms.h
@@ -2,8 +2,8 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// What the fixtures of larkrackd's forms share. The expected texts are literals that were written down from
-/// a run; none of them is computed by the code under test.
+/// Helpers of the tests that pin larkrackd's forms: the exact bytes and texts that leave its processes. The
+/// expected texts are literals recorded from a run; none of them is computed by the code under test.
 #pragma once
 
 #include "fixtures.h"
@@ -15,21 +15,21 @@
 
 namespace larkrack
 {
-/// @returns Bytes as hexadecimal digits.
+/// @returns The bytes as hexadecimal digits.
 template <typename Bytes>
 std::string bytes_to_hex(const Bytes& _bytes)
 {
 	static const char* const s_digits = "0123456789abcdef";
 	std::string hex;
-	for (const auto one : _bytes)
+	for (const auto byte : _bytes)
 	{
-		hex += s_digits[static_cast<unsigned char>(one) >> 4];
-		hex += s_digits[static_cast<unsigned char>(one) & 15];
+		hex += s_digits[static_cast<unsigned char>(byte) >> 4];
+		hex += s_digits[static_cast<unsigned char>(byte) & 15];
 	}
 	return hex;
 }
 
-/// @returns Bytes of hexadecimal digits.
+/// @returns The bytes that hexadecimal digits stand for.
 inline std::string bytes_from_hex(const std::string& _hex)
 {
 	std::string bytes;
@@ -40,20 +40,20 @@
 	return bytes;
 }
 
-/// Compares a form with the one that was written down. The first line end of a literal is not part of it.
-inline void same_form(const std::string& _expected, const std::string& _actual)
+/// Asserts that a text equals the recorded one. A line end at the very start of the literal is left out.
+inline void assert_same_text(const std::string& _expected, const std::string& _actual)
 {
 	const bool starts_on_own_line = !_expected.empty() && '\n' == _expected.front();
 	CPPUNIT_ASSERT_EQUAL(starts_on_own_line ? _expected.substr(1) : _expected, _actual);
 }
 
-/// @returns The text with each match of a pattern replaced; for what differs between two runs.
+/// @returns The text with each match of a pattern replaced, for parts that differ from run to run.
 inline std::string masked(const std::string& _text, const char* _pattern, const char* _mask)
 {
 	return std::regex_replace(_text, std::regex(_pattern), _mask);
 }
 
-/// Runs a coroutine to its end; a failed assertion in it fails the test.
+/// Runs a coroutine until it returns; a failed assertion in the coroutine fails the test.
 template <typename Function>
 void run_coroutine(asio::io_context& _context, Function _function)
 {
@@ -83,17 +83,17 @@
 	}
 }
 
-/// Keeps an object to the end of the process. Coroutines of a node that is cut off in the middle refer to it,
-/// so neither their context nor what they use may end before them.
+/// Keeps an object until the process exits. Suspended coroutines of a node that is shut down still refer to
+/// their context and to the objects that they use, so these must not be destroyed before the coroutines.
 template <typename T>
-T& kept_for_ever(std::unique_ptr<T> _object)
+T& keep_until_exit(std::unique_ptr<T> _object)
 {
 	static auto* const s_kept = new std::vector<T*>;
 	s_kept->push_back(_object.release());
 	return *s_kept->back();
 }
 
-/// @returns A port of the loopback address that is free now.
+/// @returns A port of the loopback address that is currently free.
 inline std::uint16_t free_port(asio::io_context& _context)
 {
 	tcp::acceptor taken(_context, tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0));
--- a/tests/forms/daemon_log_forms_test.cpp
+++ b/tests/forms/daemon_log_forms_test.cpp
@@ -2,8 +2,8 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Log events: the whole catalogue, and lines as larkrackd writes them. How larkrack-trace reads lines is
-/// held by programs_daemon.py.
+/// Pins the catalogue of log events and the log lines of larkrackd. How larkrack-trace reads the lines is
+/// tested by programs_daemon.py.
 
 #include "daemon_node_forms.h"
 
@@ -15,11 +15,12 @@
 {
 namespace
 {
-/// Keeps the lines that go to the log.
-class line_keeper : public el::LogDispatchCallback
+/// Records the lines that go to the log.
+class line_recorder : public el::LogDispatchCallback
 {
 public:
-	/// @returns All lines since the last clear; kept here, for the library makes the keeper itself.
+	/// @returns All lines since the last clear. They are static, since the log library creates the recorder
+	/// itself.
 	static std::vector<std::string>& lines()
 	{
 		static std::vector<std::string> s_lines;
@@ -37,24 +38,24 @@
 class daemon_log_forms_test : public CppUnit::TestFixture
 {
 	CPPUNIT_TEST_SUITE(daemon_log_forms_test);
-	CPPUNIT_TEST(catalogue_has_its_numbers_names_and_weights);
+	CPPUNIT_TEST(catalogue_has_its_numbers_names_and_severities);
 	CPPUNIT_TEST(line_has_time_node_event_and_name_beside_its_fields);
 	CPPUNIT_TEST(line_with_text_that_is_not_utf8_is_written);
-	CPPUNIT_TEST(lines_of_a_node_that_starts_and_is_changed_have_their_fields);
+	CPPUNIT_TEST(lines_of_a_start_and_a_change_have_their_fields);
 	CPPUNIT_TEST(lines_of_a_node_whose_platform_fails_have_their_fields);
 	CPPUNIT_TEST(lines_about_peers_have_their_fields);
 	CPPUNIT_TEST(lines_of_a_drain_and_a_stop_have_their_fields);
 	CPPUNIT_TEST_SUITE_END();
 
-	/// @returns Lines of the log so far, each once and in order of their text, without times and random
-	/// parts.
+	/// @returns The lines of the log so far, sorted and without duplicates, with times and random parts
+	/// masked.
 	static std::string logged()
 	{
 		std::set<std::string> lines;
-		for (const std::string& line : line_keeper::lines())
+		for (const std::string& line : line_recorder::lines())
 		{
 			const std::string timeless = masked(line, "\"t_us\":[0-9]+", "\"t_us\":TIME");
-			// A gap of three seconds and a little, in milliseconds.
+			// A pause of slightly more than three seconds, in milliseconds.
 			const std::string gapless = masked(timeless, "\"gap_ms\":3[0-9]{3},", "\"gap_ms\":GAP,");
 			lines.insert(masked(gapless, "east-1-[0-9]+", "east-1-RANDOM"));
 		}
@@ -69,18 +70,18 @@
 public:
 	void setUp() override
 	{
-		line_keeper::lines().clear();
-		el::Helpers::installLogDispatchCallback<line_keeper>("line_keeper");
+		line_recorder::lines().clear();
+		el::Helpers::installLogDispatchCallback<line_recorder>("line_recorder");
 		log_init("east-1", "/dev/null");
 	}
 
 	void tearDown() override
 	{
-		el::Helpers::uninstallLogDispatchCallback<line_keeper>("line_keeper");
+		el::Helpers::uninstallLogDispatchCallback<line_recorder>("line_recorder");
 		log_init("test", "/dev/null");
 	}
 
-	void catalogue_has_its_numbers_names_and_weights()
+	void catalogue_has_its_numbers_names_and_severities()
 	{
 		static const char* const s_weights[] = {"info", "warning", "error"};
 		std::string table;
@@ -89,7 +90,7 @@
 			table += std::to_string(static_cast<int>(row.id)) + " " + row.name + " " +
 			         s_weights[static_cast<int>(row.weight)] + "\n";
 		}
-		same_form(R"(
+		assert_same_text(R"(
 1001 node_started info
 1002 node_stopping info
 1003 node_stopped info
@@ -150,7 +151,7 @@
 	void line_has_time_node_event_and_name_beside_its_fields()
 	{
 		log_event(event::owner_lost, {{"backend", "shop-east"}, {"share", 0.5}, {"sequence", 3}});
-		same_form(R"(
+		assert_same_text(R"(
 {"backend":"shop-east","event":1404,"name":"owner_lost","node":"east-1","sequence":3,"share":0.5,"t_us":TIME}
 )",
 		    logged());
@@ -159,18 +160,18 @@
 	void line_with_text_that_is_not_utf8_is_written()
 	{
 		log_event(event::peer_refused, {{"peer", "a\xff"}});
-		same_form(R"(
+		assert_same_text(R"(
 {"event":1304,"name":"peer_refused","node":"east-1","peer":"a�","t_us":TIME}
 )",
 		    logged());
 	}
 
-	void lines_of_a_node_that_starts_and_is_changed_have_their_fields()
+	void lines_of_a_start_and_a_change_have_their_fields()
 	{
 		node_under_test node;
 		node.configure();
 		node.ask(http::verb::put, "/v1/resources/region/east", "{}", {});
-		same_form(R"(
+		assert_same_text(R"(
 {"by":"east-1-RANDOM","event":1203,"name":"config_written","node":"east-1","revision":1,"t_us":TIME}
 {"event":1101,"name":"platform_up","node":"east-1","t_us":TIME}
 {"event":1201,"name":"config_taken","node":"east-1","revision":1,"t_us":TIME}
@@ -198,7 +199,7 @@
 		refused.rev = {50};
 		refused.changed["domain/lost"] = {R"({"region":"nowhere"})", {50}, "west-1-1"};
 		node.sync->take(refused);
-		same_form(R"(
+		assert_same_text(R"(
 {"by":"east-1-RANDOM","event":1203,"name":"config_written","node":"east-1","revision":1,"t_us":TIME}
 {"by":"east-1-RANDOM","event":1203,"name":"config_written","node":"east-1","revision":2,"t_us":TIME}
 {"by":"east-1-RANDOM","event":1203,"name":"config_written","node":"east-1","revision":3,"t_us":TIME}
@@ -214,11 +215,11 @@
 		    logged());
 	}
 
-	/// @returns Lines so far that tell a peer's coming.
-	static int times_up(const std::string& _peer)
+	/// @returns The number of peer_up lines of a peer so far.
+	static int count_peer_up(const std::string& _peer)
 	{
 		int times = 0;
-		for (const std::string& line : line_keeper::lines())
+		for (const std::string& line : line_recorder::lines())
 		{
 			const bool up = std::string::npos != line.find("\"peer_up\"");
 			times += up && std::string::npos != line.find("\"peer\":\"" + _peer + "\"") ? 1 : 0;
@@ -244,23 +245,24 @@
 				    return std::string::npos != logged().find(_line);
 			    });
 		};
-		node.peers->hear({"west-1", message_heartbeat{{west}}});
+		node.peers->deliver({"west-1", message_heartbeat{{west}}});
 		runs("peer_up");
 		runs("peer_suspected");
 		++west.sequence;
-		node.peers->hear({"west-1", message_heartbeat{{west}}});
+		node.peers->deliver({"west-1", message_heartbeat{{west}}});
 		CPPUNIT_ASSERT(
-		    member_state::alive == node.decides->members().state_of("west-1", node.clock->steady()));
-		// The node has to note that it is back before it leaves: a node that left while suspected is no news.
+		    member_state::alive == node.node_control->members().state_of("west-1", node.clock->steady()));
+		// The node must log the return of west-1 before west-1 leaves: if a suspected node leaves, nothing is
+		// logged.
 		run_until(node.context,
 		    [&]
 		    {
 			    node.clock->advance(std::chrono::milliseconds(1));
-			    return times_up("west-1") >= 2;
+			    return count_peer_up("west-1") >= 2;
 		    });
 		++west.sequence;
 		west.left = true;
-		node.peers->hear({"west-1", message_heartbeat{{west}}});
+		node.peers->deliver({"west-1", message_heartbeat{{west}}});
 		runs("peer_left");
 		std::string lines;
 		std::istringstream in(logged());
@@ -268,7 +270,7 @@
 		{
 			lines += std::string::npos == line.find("\"peer\"") ? "" : line + "\n";
 		}
-		same_form(R"(
+		assert_same_text(R"(
 {"event":1301,"name":"peer_up","node":"east-1","peer":"east-1","t_us":TIME}
 {"event":1301,"name":"peer_up","node":"east-1","peer":"west-1","t_us":TIME}
 {"event":1302,"name":"peer_suspected","node":"east-1","peer":"west-1","t_us":TIME}
@@ -289,8 +291,8 @@
 		    {
 			    return std::string::npos != logged().find("node_paused");
 		    });
-		node.decides->begin_stop();
-		same_form(R"(
+		node.node_control->begin_stop();
+		assert_same_text(R"(
 {"backend":"shop-east","event":1504,"name":"drain_started","node":"east-1","running":0,"t_us":TIME}
 {"backend":"shop-east","event":1505,"name":"drain_ended","node":"east-1","t_us":TIME}
 {"by":"east-1-RANDOM","event":1203,"name":"config_written","node":"east-1","revision":1,"t_us":TIME}
--- a/tests/forms/daemon_messages_forms_test.cpp
+++ b/tests/forms/daemon_messages_forms_test.cpp
@@ -2,7 +2,7 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Bytes of the messages that larkrackd processes send each other over websockets.
+/// Pins the bytes of the messages that larkrackd processes send to each other over websockets.
 
 #include "daemon_forms.h"
 
@@ -74,7 +74,7 @@
 	CPPUNIT_TEST(heartbeat_encoded_has_its_bytes);
 	CPPUNIT_TEST(heartbeat_bytes_decoded_fill_every_field);
 	CPPUNIT_TEST(heartbeat_when_sender_leaves_has_its_flags);
-	CPPUNIT_TEST(heartbeat_bytes_of_leaving_sender_decoded_tell_it);
+	CPPUNIT_TEST(heartbeat_bytes_of_leaving_sender_decoded_have_its_flags);
 	CPPUNIT_TEST(get_config_encoded_and_decoded_keeps_its_bytes);
 	CPPUNIT_TEST(config_encoded_has_its_bytes);
 	CPPUNIT_TEST(config_bytes_decoded_fill_every_field);
@@ -86,7 +86,7 @@
 public:
 	void heartbeat_encoded_has_its_bytes()
 	{
-		same_form(k_heartbeat, bytes_to_hex(encode({"east-1", message_heartbeat{{full_entry()}}})));
+		assert_same_text(k_heartbeat, bytes_to_hex(encode({"east-1", message_heartbeat{{full_entry()}}})));
 	}
 
 	void heartbeat_bytes_decoded_fill_every_field()
@@ -112,11 +112,11 @@
 
 	void heartbeat_when_sender_leaves_has_its_flags()
 	{
-		same_form(
+		assert_same_text(
 		    k_heartbeat_leaving, bytes_to_hex(encode({"east-1", message_heartbeat{{leaving_entry()}}})));
 	}
 
-	void heartbeat_bytes_of_leaving_sender_decoded_tell_it()
+	void heartbeat_bytes_of_leaving_sender_decoded_have_its_flags()
 	{
 		const auto body = decoded<message_heartbeat>(k_heartbeat_leaving);
 		CPPUNIT_ASSERT(body.entries.front().leaving && body.entries.front().left);
@@ -124,7 +124,7 @@
 
 	void get_config_encoded_and_decoded_keeps_its_bytes()
 	{
-		same_form(k_get_config, bytes_to_hex(encode({"east-1", message_get_config{{513}}})));
+		assert_same_text(k_get_config, bytes_to_hex(encode({"east-1", message_get_config{{513}}})));
 		CPPUNIT_ASSERT_EQUAL(std::uint64_t{513}, decoded<message_get_config>(k_get_config).have.value);
 	}
 
@@ -135,7 +135,7 @@
 		body.rev = {7};
 		body.changed["region/east"] = {R"({"max_share":0.9})", {7}, "east-1-42"};
 		body.removed = {"site/east-b"};
-		same_form(k_config, bytes_to_hex(encode({"east-1", body})));
+		assert_same_text(k_config, bytes_to_hex(encode({"east-1", body})));
 	}
 
 	void config_bytes_decoded_fill_every_field()
@@ -154,13 +154,13 @@
 	void get_records_encoded_and_decoded_keeps_its_bytes()
 	{
 		const std::map<std::string, std::uint64_t> have = {{"owner/east-a/shop", 3}, {"step/shop", 300}};
-		same_form(k_get_records, bytes_to_hex(encode({"east-1", message_get_records{have}})));
+		assert_same_text(k_get_records, bytes_to_hex(encode({"east-1", message_get_records{have}})));
 		CPPUNIT_ASSERT(have == decoded<message_get_records>(k_get_records).have);
 	}
 
 	void records_encoded_and_decoded_keep_their_bytes()
 	{
-		same_form(
+		assert_same_text(
 		    k_records, bytes_to_hex(encode({"east-1", message_records{{{"step/shop", R"({"seq":9})", 9}}}})));
 		const auto body = decoded<message_records>(k_records);
 		CPPUNIT_ASSERT_EQUAL(std::size_t{1}, body.records.size());
--- a/tests/forms/daemon_metrics_forms_test.cpp
+++ b/tests/forms/daemon_metrics_forms_test.cpp
@@ -2,8 +2,8 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Names, types, help texts and labels of larkrackd's metrics, as a scrape of the operators' listener shows
-/// them. Values are left out.
+/// Pins the names, types, help texts and labels of larkrackd's metrics, as a scrape of the operators'
+/// listener returns them. Values are left out.
 
 #include "daemon_node_forms.h"
 
@@ -35,17 +35,17 @@
 	{
 		node_under_test node;
 		node.configure();
-		node.counted->count_outcome("shop", outcome::served, reason::none);
-		node.counted->count_lookup();
-		node.counted->count_relay();
-		node.counted->count_retry();
-		node.counted->observe_seconds(0.25);
-		// Which uses of the platform were called by now depends on the time that the test took.
+		node.node_metrics->count_outcome("shop", outcome::served, reason::none);
+		node.node_metrics->count_lookup();
+		node.node_metrics->count_relay();
+		node.node_metrics->count_retry();
+		node.node_metrics->observe_seconds(0.25);
+		// Which platform calls were made by now depends on the duration of the test.
 		const std::string scrape = std::regex_replace(node.ask(http::verb::get, "/metrics"),
 		    std::regex("(larkrack_platform_calls\\{use=\")[a-z_]+(\"\\}) [0-9]+\n"
 		               "(larkrack_platform_calls.*\n)*"),
 		    "$1USE$2 1\n");
-		same_form(R"(
+		assert_same_text(R"(
 200
 Content-Type: text/plain; version=0.0.4
 
@@ -134,7 +134,7 @@
 		{
 			all += line + "\n";
 		}
-		same_form(R"(
+		assert_same_text(R"(
 larkrack_requests_total{outcome="not_run",reason="bad_grant",service="shop"}
 larkrack_requests_total{outcome="not_run",reason="bad_request",service="shop"}
 larkrack_requests_total{outcome="not_run",reason="cap",service="shop"}
--- a/tests/forms/daemon_node_forms.h
+++ b/tests/forms/daemon_node_forms.h
@@ -2,8 +2,8 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// One larkrackd in the test's own thread: control and operators' listener over a store in memory, with a
-/// clock that stands still and without peers.
+/// One larkrackd in the test's own thread: control and the operators' listener, with a store in memory, a
+/// virtual clock that only the test advances, and fake peers that never answer.
 #pragma once
 
 #include "daemon_forms.h"
@@ -35,8 +35,8 @@
 	{
 		return {11, 1200, 13, 1400};
 	}
-	/// Lets the node hear a message.
-	void hear(const envelope& _envelope)
+	/// Delivers a message to the node, as if a peer had sent it.
+	void deliver(const envelope& _envelope)
 	{
 		m_receiver(_envelope);
 	}
@@ -53,17 +53,19 @@
 	txn_reply txn(const char* _use, const std::vector<store_compare>& _conditions,
 	    const std::vector<store_write>& _writes, const yield_context& _yield) override
 	{
-		if (call_status::done == writes_end)
+		if (call_status::done == write_status)
 		{
 			return store_memory::txn(_use, _conditions, _writes, _yield);
 		}
 		txn_reply reply;
-		reply.status = writes_end;
+		reply.status = write_status;
 		return reply;
 	}
-	call_status writes_end = call_status::done; ///< Other than done: writes have no effect and end so.
+	call_status write_status =
+	    call_status::done; ///< If not done, writes have no effect and return this status.
 };
 
+/// The node, its services, and requests to its operators' listener.
 class node_under_test
 {
 public:
@@ -80,14 +82,14 @@
 		port = own.operators.port;
 		clock = add(std::make_unique<clock_virtual>());
 		add(std::make_unique<settings_service>(own));
-		counted = add(std::make_unique<metrics>());
+		node_metrics = add(std::make_unique<metrics>());
 		add(std::make_unique<view_publisher>());
 		slots = add(std::make_unique<gate>("own_count"));
 		add(std::make_unique<key_table>());
 		store = add(std::make_unique<faulty_store>(engine, *clock));
 		peers = add(std::make_unique<silent_peers>());
 		sync = add(std::make_unique<platform_sync>(context, own.name, endpoint{"127.0.0.1", 1}));
-		decides = add(std::make_unique<control>(context));
+		node_control = add(std::make_unique<control>(context));
 		add(std::make_unique<operators>(context));
 		CPPUNIT_ASSERT(!services.init());
 	}
@@ -98,7 +100,9 @@
 	node_under_test(const node_under_test&) = delete;
 	node_under_test& operator=(const node_under_test&) = delete;
 
-	/// @returns The operators' answer: status, the headers that carry meaning, an empty line, the body.
+	/// Sends a request to the operators' listener.
+	/// @returns The response as text: status, content type, ETag and WWW-Authenticate if present, an empty
+	/// line, the body; the random part of the node's name is masked.
 	std::string ask(http::verb _verb, const std::string& _target, const std::string& _body = "",
 	    const std::map<std::string, std::string>& _headers = {{"Authorization", "Bearer token of operators"}})
 	{
@@ -143,23 +147,23 @@
 		run_until(context,
 		    [this]
 		    {
-			    // Passing on a request moves the clock of no one; rounds of control need it to move.
+			    // Requests don't advance the virtual clock, but control's rounds need it to advance.
 			    clock->advance(std::chrono::milliseconds(1));
 			    return !slots->states().empty() && !sync->records().value_of("step/shop").empty();
 		    });
 	}
 
-	asio::io_context& context = kept_for_ever(std::make_unique<asio::io_context>(1));
+	asio::io_context& context = keep_until_exit(std::make_unique<asio::io_context>(1));
 	store_engine engine;
 	kernel services;
 	std::uint16_t port = 0;
 	clock_virtual* clock = nullptr;
-	metrics* counted = nullptr;
+	metrics* node_metrics = nullptr;
 	gate* slots = nullptr;
 	faulty_store* store = nullptr;
 	silent_peers* peers = nullptr;
 	platform_sync* sync = nullptr;
-	control* decides = nullptr;
+	control* node_control = nullptr;
 
 private:
 	template <typename Service>
--- a/tests/forms/daemon_operators_forms_test.cpp
+++ b/tests/forms/daemon_operators_forms_test.cpp
@@ -2,7 +2,7 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// The resource API of larkrackd: status codes, headers and bodies.
+/// Pins the status codes, headers and bodies of larkrackd's resource API.
 
 #include "daemon_node_forms.h"
 
@@ -26,14 +26,14 @@
 	CPPUNIT_TEST(apply_of_other_revision_is_a_conflict);
 	CPPUNIT_TEST(apply_that_breaks_rules_is_invalid);
 	CPPUNIT_TEST(apply_that_is_no_list_is_refused);
-	CPPUNIT_TEST(change_when_answer_lost_is_unsure);
+	CPPUNIT_TEST(change_when_response_lost_is_unsure);
 	CPPUNIT_TEST(change_when_platform_down_is_not_done);
 	CPPUNIT_TEST(change_when_platform_older_is_not_done);
 	CPPUNIT_TEST(status_without_configuration_is_answered);
 	CPPUNIT_TEST(status_with_configuration_is_answered);
 	CPPUNIT_TEST(explain_is_answered);
-	CPPUNIT_TEST(watch_sends_a_line_of_news);
-	CPPUNIT_TEST(cut_is_there_only_for_tests);
+	CPPUNIT_TEST(watch_sends_a_line_of_status);
+	CPPUNIT_TEST(cut_exists_only_with_test_faults);
 	CPPUNIT_TEST_SUITE_END();
 
 	static std::map<std::string, std::string> with(const std::string& _name, const std::string& _value)
@@ -46,7 +46,7 @@
 	{
 		node_under_test node;
 		node.configure();
-		same_form(R"(
+		assert_same_text(R"(
 200
 Content-Type: application/json
 ETag: "1"
@@ -59,7 +59,7 @@
 	{
 		node_under_test node;
 		node.configure();
-		same_form(R"(
+		assert_same_text(R"(
 200
 Content-Type: application/json
 ETag: "1"
@@ -72,7 +72,7 @@
 	{
 		node_under_test node;
 		node.configure();
-		same_form(R"(
+		assert_same_text(R"(
 200
 Content-Type: application/json
 ETag: "1"
@@ -85,7 +85,7 @@
 	{
 		node_under_test node;
 		node.configure();
-		same_form(R"(
+		assert_same_text(R"(
 200
 Content-Type: application/json
 
@@ -97,7 +97,7 @@
 	{
 		node_under_test node;
 		node.configure();
-		same_form(R"(
+		assert_same_text(R"(
 200
 Content-Type: application/json
 
@@ -108,25 +108,25 @@
 	void get_unknown_is_not_found()
 	{
 		node_under_test node;
-		same_form(R"(
+		assert_same_text(R"(
 404
 Content-Type: application/json
 
 {"error":"not_found","message":"no such resource: region/none"})",
 		    node.ask(http::verb::get, "/v1/resources/region/none"));
-		same_form(R"(
+		assert_same_text(R"(
 404
 Content-Type: application/json
 
 {"error":"unknown_kind","message":"no such kind: flavour"})",
 		    node.ask(http::verb::get, "/v1/resources/flavour"));
-		same_form(R"(
+		assert_same_text(R"(
 404
 Content-Type: application/json
 
 {"error":"not_found","message":"no such page: /v1/other"})",
 		    node.ask(http::verb::get, "/v1/other"));
-		same_form(R"(
+		assert_same_text(R"(
 404
 Content-Type: application/json
 
@@ -137,33 +137,33 @@
 	void put_and_delete_are_accepted()
 	{
 		node_under_test node;
-		same_form(R"(
+		assert_same_text(R"(
 200
 Content-Type: application/json
 
 {"revision":1})",
 		    node.ask(http::verb::put, "/v1/resources/region/east", R"({"spec":{"max_share":0.9}})"));
-		same_form(R"(
+		assert_same_text(R"(
 200
 Content-Type: application/json
 
 {"revision":2})",
 		    node.ask(http::verb::put, "/v1/resources/region/east", R"({"max_share":0.8})",
 		        with("If-Match", "\"1\"")));
-		same_form(R"(
+		assert_same_text(R"(
 200
 Content-Type: application/json
 
 {"revision":2})",
 		    node.ask(http::verb::put, "/v1/resources/region/east?dry_run=true", R"({"max_share":0.7})"));
-		same_form(R"(
+		assert_same_text(R"(
 200
 Content-Type: application/json
 ETag: "2"
 
 {"kind":"region","name":"east","revision":2,"spec":{"max_share":0.8}})",
 		    node.ask(http::verb::get, "/v1/resources/region/east"));
-		same_form(R"(
+		assert_same_text(R"(
 200
 Content-Type: application/json
 
@@ -175,13 +175,13 @@
 	{
 		node_under_test node;
 		node.ask(http::verb::put, "/v1/resources/region/east", "{}");
-		same_form(R"(
+		assert_same_text(R"(
 409
 Content-Type: application/json
 
 {"error":"conflict","message":"changed by somebody else; read it again","resource":"region/east","resource_revision":1,"revision":1})",
 		    node.ask(http::verb::put, "/v1/resources/region/east", "{}", with("If-Match", "\"7\"")));
-		same_form(R"(
+		assert_same_text(R"(
 409
 Content-Type: application/json
 
@@ -192,13 +192,13 @@
 	void put_that_breaks_rules_is_invalid()
 	{
 		node_under_test node;
-		same_form(R"(
+		assert_same_text(R"(
 422
 Content-Type: application/json
 
 {"error":"invalid","message":"nothing was changed","mistakes":[{"allowed":"Expected number less than or equal to 1.000000","path":"/region/east/spec/max_share","value":"9"},{"allowed":"Object contains a property that could not be validated using 'properties' or 'additionalProperties' constraints: 'colour'.","path":"/region/east/spec","value":"{\"colour\":1,\"max_share\":9}"}],"revision":0})",
 		    node.ask(http::verb::put, "/v1/resources/region/east", R"({"spec":{"max_share":9,"colour":1}})"));
-		same_form(R"(
+		assert_same_text(R"(
 422
 Content-Type: application/json
 
@@ -209,13 +209,13 @@
 	void change_that_is_no_change_is_refused()
 	{
 		node_under_test node;
-		same_form(R"(
+		assert_same_text(R"(
 400
 Content-Type: application/json
 
 {"error":"bad_json","message":"the body is not a JSON object"})",
 		    node.ask(http::verb::put, "/v1/resources/region/east", "[1]"));
-		same_form(R"(
+		assert_same_text(R"(
 405
 Content-Type: application/json
 
@@ -226,14 +226,14 @@
 	void change_without_token_is_refused()
 	{
 		node_under_test node;
-		same_form(R"(
+		assert_same_text(R"(
 401
 Content-Type: application/json
 WWW-Authenticate: Bearer
 
 {"error":"token","message":"the change needs the operators' token"})",
 		    node.ask(http::verb::put, "/v1/resources/region/east", "{}", {}));
-		same_form(R"(
+		assert_same_text(R"(
 401
 Content-Type: application/json
 WWW-Authenticate: Bearer
@@ -246,7 +246,7 @@
 	void apply_is_accepted()
 	{
 		node_under_test node;
-		same_form(R"(
+		assert_same_text(R"(
 200
 Content-Type: application/json
 
@@ -254,21 +254,21 @@
 		    node.ask(http::verb::post, "/v1/apply",
 		        R"({"resources":[{"kind":"region","name":"east","spec":{}},
 		            {"kind":"domain","name":"east-a","spec":{"region":"east"},"revision":0}]})"));
-		same_form(R"(
+		assert_same_text(R"(
 200
 Content-Type: application/json
 
 {"revision":1})",
 		    node.ask(http::verb::post, "/v1/apply",
 		        R"({"dry_run":true,"resources":[{"kind":"region","name":"west"}]})"));
-		same_form(R"(
+		assert_same_text(R"(
 200
 Content-Type: application/json
 
 {"revision":2})",
 		    node.ask(http::verb::post, "/v1/apply",
 		        R"({"resources":[{"kind":"domain","name":"east-a","delete":true,"revision":1}]})"));
-		same_form(R"(
+		assert_same_text(R"(
 200
 Content-Type: application/json
 
@@ -280,7 +280,7 @@
 	{
 		node_under_test node;
 		node.ask(http::verb::put, "/v1/resources/region/east", "{}");
-		same_form(R"(
+		assert_same_text(R"(
 409
 Content-Type: application/json
 
@@ -292,7 +292,7 @@
 	void apply_that_breaks_rules_is_invalid()
 	{
 		node_under_test node;
-		same_form(R"(
+		assert_same_text(R"(
 422
 Content-Type: application/json
 
@@ -304,13 +304,13 @@
 	void apply_that_is_no_list_is_refused()
 	{
 		node_under_test node;
-		same_form(R"(
+		assert_same_text(R"(
 400
 Content-Type: application/json
 
 {"error":"bad_json","message":"the body is not {\"resources\": [...]}"})",
 		    node.ask(http::verb::post, "/v1/apply", "{}"));
-		same_form(R"(
+		assert_same_text(R"(
 400
 Content-Type: application/json
 
@@ -318,11 +318,11 @@
 		    node.ask(http::verb::post, "/v1/apply", R"({"resources":[{"kind":"region"}]})"));
 	}
 
-	void change_when_answer_lost_is_unsure()
+	void change_when_response_lost_is_unsure()
 	{
 		node_under_test node;
-		node.store->writes_end = call_status::unsure;
-		same_form(R"(
+		node.store->write_status = call_status::unsure;
+		assert_same_text(R"(
 504
 Content-Type: application/json
 
@@ -334,7 +334,7 @@
 	{
 		node_under_test node;
 		node.store->down = true;
-		same_form(R"(
+		assert_same_text(R"(
 503
 Content-Type: application/json
 
@@ -347,8 +347,8 @@
 		node_under_test node;
 		node.ask(http::verb::put, "/v1/resources/region/east", "{}");
 		node.engine = store_engine();
-		node.store->writes_end = call_status::not_done;
-		same_form(R"(
+		node.store->write_status = call_status::not_done;
+		assert_same_text(R"(
 503
 Content-Type: application/json
 
@@ -359,7 +359,7 @@
 	void status_without_configuration_is_answered()
 	{
 		node_under_test node;
-		same_form(R"(
+		assert_same_text(R"(
 200
 Content-Type: application/json
 
@@ -373,7 +373,7 @@
 	{
 		node_under_test node;
 		node.configure();
-		same_form(R"(
+		assert_same_text(R"(
 200
 Content-Type: application/json
 
@@ -386,13 +386,13 @@
 	{
 		node_under_test node;
 		node.configure();
-		same_form(R"(
+		assert_same_text(R"(
 200
 Content-Type: application/json
 
 {"caller":"10.1.0.1","entry_vms":[{"domain":"east-a","entry_vm":"east-1","running":0,"usable":3,"weight":1.0}],"region":"east","revision":1,"service":"shop","steps":[{"result":"east-a","rule":"client_block"},{"result":"east","rule":"home_region"},{"parts":{"east":1.0,"north":0.0,"west":0.0},"point":0.28684091066715456,"result":"east","rule":"mix"}]})",
 		    node.ask(http::verb::get, "/v1/explain?service=shop&caller=10.1.0.1"));
-		same_form(R"(
+		assert_same_text(R"(
 400
 Content-Type: application/json
 
@@ -400,7 +400,7 @@
 		    node.ask(http::verb::get, "/v1/explain?service=shop&caller=somebody"));
 	}
 
-	void watch_sends_a_line_of_news()
+	void watch_sends_a_line_of_status()
 	{
 		node_under_test node;
 		node.configure();
@@ -423,30 +423,30 @@
 			    }
 			    line += parser.get().body();
 		    });
-		same_form(R"(
+		assert_same_text(R"(
 200 application/x-ndjson
 {"degraded":["cut_off_from:north-a","cut_off_from:west-a","stale_measurements:shop-east"],"entry_vms":[{"domain":"east-a","lags":false,"name":"east-1","revision":1,"state":"alive"},{"domain":"north-a","lags":true,"name":"north-1","revision":0,"state":"unknown"},{"domain":"west-a","lags":true,"name":"west-1","revision":0,"state":"unknown"}],"revision":1,"shifts":[{"goal":{"east":0.4,"north":0.3,"west":0.3},"in_force":{"east":0.4,"north":0.3,"west":0.3},"service":"shop","shares":{"east":0.4,"north":0.3,"west":0.3},"state":"done","step":0,"waits_for":""}]}
 )",
 		    line);
 	}
 
-	void cut_is_there_only_for_tests()
+	void cut_exists_only_with_test_faults()
 	{
 		node_under_test node;
-		same_form(R"(
+		assert_same_text(R"(
 404
 Content-Type: application/json
 
 {"error":"not_found","message":"no such page: /v1/test/cut"})",
 		    node.ask(http::verb::put, "/v1/test/cut", "{}"));
 		node_under_test faulty(true);
-		same_form(R"(
+		assert_same_text(R"(
 200
 Content-Type: application/json
 
 {})",
 		    faulty.ask(http::verb::put, "/v1/test/cut", R"({"entry_vms":["west-1"],"platform":true})"));
-		same_form(R"(
+		assert_same_text(R"(
 400
 Content-Type: application/json
 
--- a/tests/forms/daemon_records_forms_test.cpp
+++ b/tests/forms/daemon_records_forms_test.cpp
@@ -2,7 +2,7 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Keys and values that larkrackd keeps in the platform's store, as written and as read.
+/// Pins the keys and values that larkrackd keeps in the platform's store, as written and as read.
 
 #include "daemon_forms.h"
 
@@ -29,7 +29,7 @@
 	CPPUNIT_TEST(owners_text_read_fills_every_field);
 	CPPUNIT_TEST(step_written_has_its_text);
 	CPPUNIT_TEST(step_text_read_fills_every_field);
-	CPPUNIT_TEST(texts_of_no_record_read_are_empty_records);
+	CPPUNIT_TEST(texts_invalid_read_are_empty_records);
 	CPPUNIT_TEST(resources_written_stand_under_their_keys);
 	CPPUNIT_TEST(resource_deleted_leaves_only_the_head);
 	CPPUNIT_TEST(resources_restored_stand_under_their_keys);
@@ -40,10 +40,11 @@
 	CPPUNIT_TEST(digest_of_records_is_the_same_at_every_node);
 	CPPUNIT_TEST_SUITE_END();
 
-	/// A node's part of the platform, without the rest of the node.
-	struct party
+	/// The store client and platform_sync of a node, without the rest of the node.
+	struct platform_client
 	{
-		party(asio::io_context& _context, store_engine& _engine, const clock_base& _clock, bool _reader)
+		platform_client(
+		    asio::io_context& _context, store_engine& _engine, const clock_base& _clock, bool _reader)
 		{
 			services.add(std::make_unique<store_memory>(_engine, _clock));
 			auto own = std::make_unique<platform_sync>(_context, "east-1", endpoint{"127.0.0.1", 1});
@@ -52,7 +53,7 @@
 			services.add(std::move(own));
 			services.init();
 		}
-		~party()
+		~platform_client()
 		{
 			services.shutdown();
 		}
@@ -88,7 +89,7 @@
 		record.sequence = 7;
 		record.backends["shop-east"] = {"east-1", {1700000000000001}, from_us(1700000009000000)};
 		record.backends["shop-spare"] = {"", {}, from_us(0)};
-		same_form(k_owners, to_text(record));
+		assert_same_text(k_owners, to_text(record));
 	}
 
 	void owners_text_read_fills_every_field()
@@ -114,7 +115,7 @@
 		record.at = from_us(1700000009000000);
 		record.number = 3;
 		record.by = "east-1";
-		same_form(k_step, to_text(record));
+		assert_same_text(k_step, to_text(record));
 	}
 
 	void step_text_read_fills_every_field()
@@ -130,7 +131,7 @@
 		CPPUNIT_ASSERT_EQUAL(std::string("east-1"), record.by);
 	}
 
-	void texts_of_no_record_read_are_empty_records()
+	void texts_invalid_read_are_empty_records()
 	{
 		CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, owners_from_text("no JSON").sequence);
 		CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, step_from_text("").sequence);
@@ -139,13 +140,13 @@
 
 	void resources_written_stand_under_their_keys()
 	{
-		party one(m_context, m_engine, m_clock, false);
+		platform_client client(m_context, m_engine, m_clock, false);
 		run_coroutine(m_context,
 		    [&](const yield_context& _yield)
 		    {
-			    one.sync->write(two_resources(), false, _yield);
+			    client.sync->write(two_resources(), false, _yield);
 		    });
-		same_form(R"(
+		assert_same_text(R"(
 /larkrack/config/head {"base":0,"by":"east-1-RANDOM","revision":1}
 /larkrack/config/r/domain/east-a {"by":"east-1-RANDOM","rev":1,"spec":"{\"region\":\"east\"}"}
 /larkrack/config/r/region/east {"by":"east-1-RANDOM","rev":1,"spec":"{\"drain\":false,\"max_share\":0.9}"}
@@ -155,14 +156,14 @@
 
 	void resource_deleted_leaves_only_the_head()
 	{
-		party one(m_context, m_engine, m_clock, false);
+		platform_client client(m_context, m_engine, m_clock, false);
 		run_coroutine(m_context,
 		    [&](const yield_context& _yield)
 		    {
-			    one.sync->write({two_resources().front()}, false, _yield);
-			    one.sync->write({{"region", "east", std::nullopt, std::nullopt}}, false, _yield);
+			    client.sync->write({two_resources().front()}, false, _yield);
+			    client.sync->write({{"region", "east", std::nullopt, std::nullopt}}, false, _yield);
 		    });
-		same_form(R"(
+		assert_same_text(R"(
 /larkrack/config/head {"base":1,"by":"east-1-RANDOM","revision":2}
 )",
 		    stored());
@@ -170,17 +171,17 @@
 
 	void resources_restored_stand_under_their_keys()
 	{
-		party one(m_context, m_engine, m_clock, false);
+		platform_client client(m_context, m_engine, m_clock, false);
 		run_coroutine(m_context,
 		    [&](const yield_context& _yield)
 		    {
-			    one.sync->write(two_resources(), false, _yield);
+			    client.sync->write(two_resources(), false, _yield);
 			    m_engine = store_engine();
 			    m_engine.txn({}, {{"/larkrack/config/r/region/lost", "{}", 0}});
-			    // A dry run meets the older store and restores it, and writes nothing of its own.
-			    one.sync->write(two_resources(), true, _yield);
+			    // A dry run finds an older store and restores it, but doesn't write its own changes.
+			    client.sync->write(two_resources(), true, _yield);
 		    });
-		same_form(R"(
+		assert_same_text(R"(
 /larkrack/config/head {"base":0,"by":"east-1","revision":1}
 /larkrack/config/r/domain/east-a {"by":"east-1-RANDOM","rev":1,"spec":"{\"region\":\"east\"}"}
 /larkrack/config/r/region/east {"by":"east-1-RANDOM","rev":1,"spec":"{\"drain\":false,\"max_share\":0.9}"}
@@ -193,13 +194,13 @@
 		m_engine.txn({}, {{"/larkrack/config/head", R"({"base":4,"by":"west-1-1","revision":5})", 0},
 		                     {"/larkrack/config/r/region/east",
 		                         R"({"by":"west-1-1","rev":5,"spec":"{\"max_share\":0.9}"})", 0}});
-		party one(m_context, m_engine, m_clock, true);
+		platform_client client(m_context, m_engine, m_clock, true);
 		run_until(m_context,
 		    [&]
 		    {
-			    return 0 < one.sync->configuration().state().rev.value;
+			    return 0 < client.sync->configuration().state().rev.value;
 		    });
-		const config_state& state = one.sync->configuration().state();
+		const config_state& state = client.sync->configuration().state();
 		CPPUNIT_ASSERT_EQUAL(std::uint64_t{5}, state.rev.value);
 		const resource_value& value = state.resources.at("region/east");
 		CPPUNIT_ASSERT_EQUAL(std::string(R"({"max_share":0.9})"), value.spec);
@@ -209,11 +210,11 @@
 
 	void record_written_stands_under_its_key()
 	{
-		party one(m_context, m_engine, m_clock, false);
+		platform_client client(m_context, m_engine, m_clock, false);
 		run_coroutine(m_context,
 		    [&](const yield_context& _yield)
 		    {
-			    one.sync->update_record(
+			    client.sync->update_record(
 			        "write_step", "step/shop",
 			        [](const std::string&) -> std::optional<std::string>
 			        {
@@ -221,7 +222,7 @@
 			        },
 			        _yield);
 		    });
-		same_form(R"(
+		assert_same_text(R"(
 /larkrack/record/step/shop {"seq":1}
 )",
 		    stored());
@@ -230,30 +231,30 @@
 	void record_in_the_store_is_read()
 	{
 		m_engine.txn({}, {{"/larkrack/record/owner/east-a/shop", R"({"seq":3,"backends":{}})", 0}});
-		party one(m_context, m_engine, m_clock, true);
+		platform_client client(m_context, m_engine, m_clock, true);
 		run_until(m_context,
 		    [&]
 		    {
-			    return !one.sync->records().sequences().empty();
+			    return !client.sync->records().sequences().empty();
 		    });
-		CPPUNIT_ASSERT_EQUAL(std::uint64_t{3}, one.sync->records().sequences().at("owner/east-a/shop"));
+		CPPUNIT_ASSERT_EQUAL(std::uint64_t{3}, client.sync->records().sequences().at("owner/east-a/shop"));
 		CPPUNIT_ASSERT_EQUAL(
-		    std::string(R"({"seq":3,"backends":{}})"), one.sync->records().value_of("owner/east-a/shop"));
+		    std::string(R"({"seq":3,"backends":{}})"), client.sync->records().value_of("owner/east-a/shop"));
 	}
 
 	void driver_lease_stands_under_its_key()
 	{
-		party one(m_context, m_engine, m_clock, false);
+		platform_client client(m_context, m_engine, m_clock, false);
 		run_coroutine(m_context,
 		    [&](const yield_context& _yield)
 		    {
-			    CPPUNIT_ASSERT(one.sync->hold_driver_lease(_yield));
+			    CPPUNIT_ASSERT(client.sync->hold_driver_lease(_yield));
 		    });
-		same_form(R"(
+		assert_same_text(R"(
 /larkrack/lease/driver east-1
 )",
 		    stored());
-		// Seconds of life: the key is there until then and gone after.
+		// The lease lasts five seconds: the key exists until then and is removed afterwards.
 		m_clock.advance(std::chrono::milliseconds(4999));
 		m_engine.tick(m_clock.steady());
 		CPPUNIT_ASSERT(!stored().empty());
@@ -267,7 +268,7 @@
 		record_replica book;
 		book.take({"owner/east-a/shop", "{}", 3});
 		book.take({"step/shop", "{}", 9});
-		same_form(R"(14237122033121758801)", std::to_string(book.digest()));
+		assert_same_text(R"(14237122033121758801)", std::to_string(book.digest()));
 	}
 };
 
--- a/tests/forms/daemon_settings_forms_test.cpp
+++ b/tests/forms/daemon_settings_forms_test.cpp
@@ -2,8 +2,8 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Keys of larkrackd's settings file and of the resources' specs, with what each takes, and how both are
-/// read.
+/// Pins the keys of larkrackd's settings file and of the resources' specs, the schema of each key, and how
+/// both are read.
 
 #include "daemon_forms.h"
 
@@ -21,7 +21,7 @@
 	CPPUNIT_TEST(settings_with_mistakes_are_refused_with_their_texts);
 	CPPUNIT_TEST_SUITE_END();
 
-	/// Adds one line for each key of a schema: its path, and what it takes.
+	/// Appends one line for each key of a schema: the path of the key and its rules, without descriptions.
 	static void list_keys(const std::string& _path, const nlohmann::json& _schema, std::string& _lines)
 	{
 		nlohmann::json own = _schema;
@@ -35,7 +35,7 @@
 		}
 	}
 
-	static std::string texts_of(const settings& _settings)
+	static std::string settings_to_text(const settings& _settings)
 	{
 		std::string seeds;
 		for (const endpoint& seed : _settings.seeds)
@@ -54,7 +54,7 @@
 		return text.str();
 	}
 
-	/// @returns A settings file, its keys as larkrackd's users write them.
+	/// @returns A settings file with the required keys only.
 	static nlohmann::json required_keys()
 	{
 		return nlohmann::json::parse(R"({
@@ -69,7 +69,7 @@
 	{
 		std::string lines;
 		list_keys("", schema_settings(), lines);
-		same_form(R"(
+		assert_same_text(R"(
 / {"additionalProperties":false,"required":["name","region","domain","listen","platform","secret","operator_token"],"type":"object"}
 /chooser {"enum":["own_count","round_robin","least_connections","two_random"],"type":"string"}
 /domain {"minLength":1,"type":"string"}
@@ -103,7 +103,7 @@
 		{
 			list_keys("/" + kind, *schema_resource(kind), lines);
 		}
-		same_form(R"(
+		assert_same_text(R"(
 /region {"additionalProperties":false,"type":"object"}
 /region/drain {"type":"boolean"}
 /region/max_share {"maximum":1,"minimum":0.05,"type":"number"}
@@ -149,18 +149,18 @@
 			"trace_http": "127.0.0.1:8", "trace_share": 0.25, "test_faults": true})"));
 		const auto read = parse_settings(document);
 		CPPUNIT_ASSERT(std::holds_alternative<settings>(read));
-		same_form(
+		assert_same_text(
 		    R"(east-1|east|east-a|127.0.0.1:1|127.0.0.1:2|127.0.0.1:3|[::1]:4|127.0.0.1:5|127.0.0.1:6 127.0.0.1:7 |a secret of sixteen|token of operators|two_random|log|spans|127.0.0.1:8|0.25|3|0|1|1)",
-		    texts_of(std::get<settings>(read)));
+		    settings_to_text(std::get<settings>(read)));
 	}
 
 	void settings_with_required_keys_have_their_defaults()
 	{
 		const auto read = parse_settings(required_keys());
 		CPPUNIT_ASSERT(std::holds_alternative<settings>(read));
-		same_form(
+		assert_same_text(
 		    R"(east-1|east|east-a|127.0.0.1:1|127.0.0.1:2|127.0.0.1:3|[::1]:4|127.0.0.1:5||a secret of sixteen|token of operators|own_count||||0|1|1|0|0)",
-		    texts_of(std::get<settings>(read)));
+		    settings_to_text(std::get<settings>(read)));
 	}
 
 	void settings_with_mistakes_are_refused_with_their_texts()
@@ -173,7 +173,7 @@
 		document["listen"]["relay"] = "127.0.0.1";
 		const auto read = parse_settings(document);
 		CPPUNIT_ASSERT(std::holds_alternative<std::vector<mistake>>(read));
-		same_form(R"(
+		assert_same_text(R"(
 /chooser: "best": Failed to match against any enum values.
 /listen/relay: "127.0.0.1": Failed to match regex specified by 'pattern' constraint.
 /traffic_threads: 0: Expected number greater than or equal to 1.000000
--- a/tests/forms/daemon_signatures_forms_test.cpp
+++ b/tests/forms/daemon_signatures_forms_test.cpp
@@ -2,7 +2,7 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Signed texts of larkrackd: grants, the header of a relayed request, and the websocket handshake.
+/// Pins the signed texts of larkrackd: grants, the header of a relayed request, and the websocket handshake.
 
 #include "daemon_forms.h"
 #include "testing/clock_virtual_p.h"
@@ -22,13 +22,13 @@
 const char* const k_grant =
     "g1:shop:east-1:1700000000000001:1700000001000000:1700000061000000:18446744073709551615:c1f3288cf"
     "dab417fa40791fa0e8f8862";
-/// Signed at the virtual clock's start.
+/// Signatures made at the start time of the virtual clock.
 const char* const k_relay_slot = "slot:r-1:1576800000000000:dd918a1218f5a81220bbe93221717f1c";
 const char* const k_relay_key = "key:r-1:1576800000000000:56c5c1dd8e3548bbefb1cf72601c423d";
 const char* const k_peer = "east-1|east-a|1|1576800000000000";
-const char* const k_peer_sign = "fbcf1a6475380345436efaa0e5dac59d";
+const char* const k_peer_signature = "fbcf1a6475380345436efaa0e5dac59d";
 
-/// @returns The first 16 bytes of HMAC-SHA256, written by the library alone.
+/// @returns The first 16 bytes of HMAC-SHA256, computed by OpenSSL without larkrack's own code.
 std::string signature_by_library(const std::string& _text)
 {
 	unsigned char digest[EVP_MAX_MD_SIZE];
@@ -50,7 +50,7 @@
 	return one;
 }
 
-/// Two entry VMs of the small configuration; the first one's peers listen where the test says.
+/// @returns The rules of the small configuration, with all traffic in the east and east-1's relay at a port.
 policy_ptr rules_with_relay(std::uint16_t _port)
 {
 	config_state state = small_configuration();
@@ -72,18 +72,18 @@
 	CPPUNIT_TEST(key_built_on_grant_is_recognised);
 	CPPUNIT_TEST(relay_sent_for_slot_has_its_headers);
 	CPPUNIT_TEST(relay_sent_for_key_is_marked_so);
-	CPPUNIT_TEST(relay_signed_is_taken);
-	CPPUNIT_TEST(relay_signed_by_nobody_or_for_other_request_is_refused);
+	CPPUNIT_TEST(relay_signed_is_accepted);
+	CPPUNIT_TEST(relay_unsigned_or_for_other_request_is_refused);
 	CPPUNIT_TEST(relay_signed_too_long_ago_is_refused);
 	CPPUNIT_TEST(handshake_sent_has_its_headers);
-	CPPUNIT_TEST(handshake_signed_is_taken);
-	CPPUNIT_TEST(handshake_with_other_sign_is_refused);
+	CPPUNIT_TEST(handshake_signed_is_accepted);
+	CPPUNIT_TEST(handshake_with_other_signature_is_refused);
 	CPPUNIT_TEST_SUITE_END();
 
-	/// A carrier of west-1 that thinks of east-1 as the owner of the only slots.
-	struct carrying
+	/// The carrier of west-1, whose view has east-1 as the owner of the only slots.
+	struct carrier_node
 	{
-		carrying(asio::io_context& _context, std::uint16_t _relay_port)
+		carrier_node(asio::io_context& _context, std::uint16_t _relay_port)
 		{
 			settings own;
 			own.name = "west-1";
@@ -145,7 +145,7 @@
 		std::unique_ptr<http_server> relays;
 	};
 
-	/// @returns The answer of a server on the loopback address.
+	/// @returns The response of a server on the loopback address.
 	http_response exchange(std::uint16_t _port, const http_request& _request)
 	{
 		http_response answer;
@@ -161,7 +161,7 @@
 		return answer;
 	}
 
-	/// @returns The request that west-1 sends on to east-1 for a caller's request.
+	/// @returns The request that west-1 relays to east-1 for a caller's request.
 	http_request relayed(const http_request& _from_caller)
 	{
 		http_request seen;
@@ -174,15 +174,15 @@
 			    _session.send(answer, _yield);
 		    });
 		east.listen({"127.0.0.1", 0});
-		carrying west(m_context, east.port());
+		carrier_node west(m_context, east.port());
 		exchange(west.callers->port(), _from_caller);
 		return seen;
 	}
 
-	/// @returns Reason that west-1's relay listener answers a signed request with.
-	std::string reason_of_relay(const std::string& _id, const std::string& _mark, std::chrono::seconds _age)
+	/// @returns The reason header of the response of west-1's relay listener to a signed request.
+	std::string relay_reason(const std::string& _id, const std::string& _mark, std::chrono::seconds _age)
 	{
-		carrying west(m_context, 1);
+		carrier_node west(m_context, 1);
 		west.clock->advance(_age);
 		http_request request = make_request(http::verb::get, "/shop/page", {"127.0.0.1", 1});
 		request.set("Larkrack-Request-Id", _id);
@@ -190,26 +190,26 @@
 		return header_of(exchange(west.relays->port(), request), "Larkrack-Reason");
 	}
 
-	/// @returns Peers of east-1 that listen on a port.
-	peers_base& peers_of_east(std::uint16_t _port)
+	/// @returns The peers service of east-1, listening on a port.
+	peers_base& create_east_peers(std::uint16_t _port)
 	{
-		settings& own = kept_for_ever(std::make_unique<settings>());
+		settings& own = keep_until_exit(std::make_unique<settings>());
 		own.name = "east-1";
 		own.domain = "east-a";
 		own.secret = k_secret;
 		own.peers = {"127.0.0.1", _port};
-		clock_base& clock = kept_for_ever(std::make_unique<clock_virtual>());
-		peers_base& peers = kept_for_ever(create_peers_websocket(m_context, own, clock));
+		clock_base& clock = keep_until_exit(std::make_unique<clock_virtual>());
+		peers_base& peers = keep_until_exit(create_peers_websocket(m_context, own, clock));
 		kernel none;
 		CPPUNIT_ASSERT(!peers.init(none));
 		return peers;
 	}
 
-	/// @returns Status of a handshake with these headers.
+	/// @returns The status of a handshake with these headers.
 	http::status handshake(const char* _peer, const char* _sign)
 	{
 		const std::uint16_t port = free_port(m_context);
-		peers_base& peers = peers_of_east(port);
+		peers_base& peers = create_east_peers(port);
 		http::status status{};
 		run_coroutine(m_context,
 		    [&](const yield_context& _yield)
@@ -233,17 +233,17 @@
 		return status;
 	}
 
-	asio::io_context& m_context = kept_for_ever(std::make_unique<asio::io_context>(1));
+	asio::io_context& m_context = keep_until_exit(std::make_unique<asio::io_context>(1));
 
 public:
 	void text_signed_has_its_signature()
 	{
-		same_form("b61f9fd35104f39ab13c8865472cedb1", signer(k_secret).signature("slot:r-1:1"));
+		assert_same_text("b61f9fd35104f39ab13c8865472cedb1", signer(k_secret).signature("slot:r-1:1"));
 	}
 
 	void grant_signed_has_its_text()
 	{
-		same_form(k_grant, signer(k_secret).sign(full_grant()));
+		assert_same_text(k_grant, signer(k_secret).sign(full_grant()));
 	}
 
 	void grant_text_read_fills_every_field()
@@ -294,7 +294,7 @@
 		lines = masked(lines, ":[0-9a-f]{32}\n", ":SIGNATURE\n");
 		lines = masked(lines, "Host: 127.0.0.1:[0-9]+", "Host: 127.0.0.1:PORT");
 		lines = masked(lines, "-[0-9a-f]{16}-01", "-SPAN-01");
-		same_form(R"(
+		assert_same_text(R"(
 POST /shop/page?a=b
 Content-Type: application/json
 Larkrack-Repeatable: 1
@@ -319,41 +319,41 @@
 	void relay_sent_for_key_is_marked_so()
 	{
 		http_request request = make_request(http::verb::post, "/shop/pay", {"127.0.0.1", 1}, "body");
-		// A bare key whose owner, by rendezvous hash, is the entry VM in the east.
+		// A key without a grant, whose owner by rendezvous hash is the entry VM in the east.
 		request.set("Idempotency-Key", "order-1");
 		const std::string mark = header_of(relayed(request), "Larkrack-Relay");
-		same_form(R"(key:west-1-RANDOM-1:1576800000000000:SIGNATURE)",
+		assert_same_text(R"(key:west-1-RANDOM-1:1576800000000000:SIGNATURE)",
 		    masked(masked(mark, "west-1-[0-9]+-1", "west-1-RANDOM-1"), ":[0-9a-f]{32}$", ":SIGNATURE"));
 	}
 
-	void relay_signed_is_taken()
+	void relay_signed_is_accepted()
 	{
-		// Nothing owns slots at west-1, so a request that was let in meets no backend server.
+		// west-1 owns no slots, so an accepted request finds no backend server.
 		CPPUNIT_ASSERT_EQUAL(
-		    std::string("no_backend"), reason_of_relay("r-1", k_relay_slot, std::chrono::seconds(0)));
+		    std::string("no_backend"), relay_reason("r-1", k_relay_slot, std::chrono::seconds(0)));
 		CPPUNIT_ASSERT_EQUAL(
-		    std::string("no_backend"), reason_of_relay("r-1", k_relay_slot, std::chrono::seconds(29)));
-		// One that came for its key may go on to the owner of the slots, whom nobody can reach here; after
-		// that no entry VM is left to try.
+		    std::string("no_backend"), relay_reason("r-1", k_relay_slot, std::chrono::seconds(29)));
+		// A request relayed for its key may be relayed again to the owner of the slots, which is unreachable
+		// here; after that no entry VM is left to try.
 		CPPUNIT_ASSERT_EQUAL(
-		    std::string("no_headroom"), reason_of_relay("r-1", k_relay_key, std::chrono::seconds(0)));
+		    std::string("no_headroom"), relay_reason("r-1", k_relay_key, std::chrono::seconds(0)));
 	}
 
-	void relay_signed_by_nobody_or_for_other_request_is_refused()
+	void relay_unsigned_or_for_other_request_is_refused()
 	{
 		std::string changed = k_relay_slot;
 		changed.back() = '0' == changed.back() ? '1' : '0';
 		CPPUNIT_ASSERT_EQUAL(
-		    std::string("bad_request"), reason_of_relay("r-1", changed, std::chrono::seconds(0)));
+		    std::string("bad_request"), relay_reason("r-1", changed, std::chrono::seconds(0)));
 		CPPUNIT_ASSERT_EQUAL(
-		    std::string("bad_request"), reason_of_relay("r-2", k_relay_slot, std::chrono::seconds(0)));
-		CPPUNIT_ASSERT_EQUAL(std::string("bad_request"), reason_of_relay("r-1", "", std::chrono::seconds(0)));
+		    std::string("bad_request"), relay_reason("r-2", k_relay_slot, std::chrono::seconds(0)));
+		CPPUNIT_ASSERT_EQUAL(std::string("bad_request"), relay_reason("r-1", "", std::chrono::seconds(0)));
 	}
 
 	void relay_signed_too_long_ago_is_refused()
 	{
 		CPPUNIT_ASSERT_EQUAL(
-		    std::string("bad_request"), reason_of_relay("r-1", k_relay_slot, std::chrono::seconds(30)));
+		    std::string("bad_request"), relay_reason("r-1", k_relay_slot, std::chrono::seconds(30)));
 	}
 
 	void handshake_sent_has_its_headers()
@@ -367,24 +367,24 @@
 			    _session.send(answer, _yield);
 		    });
 		west.listen({"127.0.0.1", 0});
-		peers_base& peers = peers_of_east(free_port(m_context));
+		peers_base& peers = create_east_peers(free_port(m_context));
 		peers.send("west-1", {"127.0.0.1", west.port()}, {"east-1", message_get_config{}});
 		run_until(m_context,
 		    [&]
 		    {
 			    return 0 < seen.count("Larkrack-Peer");
 		    });
-		same_form(k_peer, header_of(seen, "Larkrack-Peer"));
-		same_form(k_peer_sign, header_of(seen, "Larkrack-Peer-Sign"));
-		same_form("/", std::string(seen.target()));
+		assert_same_text(k_peer, header_of(seen, "Larkrack-Peer"));
+		assert_same_text(k_peer_signature, header_of(seen, "Larkrack-Peer-Sign"));
+		assert_same_text("/", std::string(seen.target()));
 	}
 
-	void handshake_signed_is_taken()
+	void handshake_signed_is_accepted()
 	{
-		CPPUNIT_ASSERT(http::status::switching_protocols == handshake(k_peer, k_peer_sign));
+		CPPUNIT_ASSERT(http::status::switching_protocols == handshake(k_peer, k_peer_signature));
 	}
 
-	void handshake_with_other_sign_is_refused()
+	void handshake_with_other_signature_is_refused()
 	{
 		CPPUNIT_ASSERT(http::status::forbidden == handshake(k_peer, "0123456789abcdef0123456789abcdef"));
 	}
--- a/tests/forms/entry_settings_form_test.cpp
+++ b/tests/forms/entry_settings_form_test.cpp
@@ -2,8 +2,8 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Keys of larkrack-edge's settings with their types and bounds, what they are read into, and the template
-/// by which the platform writes them.
+/// Pins the keys of larkrack-edge's settings with their types and bounds, the values that they are read into,
+/// and the template from which the platform writes them.
 
 #include "fixtures.h"
 
@@ -17,9 +17,9 @@
 {
 	CPPUNIT_TEST_SUITE(entry_settings_form_test);
 	CPPUNIT_TEST(schema_holds_the_known_keys);
-	CPPUNIT_TEST(schema_passes_over_keys_that_it_does_not_know);
+	CPPUNIT_TEST(schema_ignores_unknown_keys);
 	CPPUNIT_TEST(settings_full_are_read);
-	CPPUNIT_TEST(settings_with_the_least_get_the_known_defaults);
+	CPPUNIT_TEST(settings_with_required_keys_get_the_known_defaults);
 	CPPUNIT_TEST(template_of_the_platform_is_the_known_one);
 	CPPUNIT_TEST_SUITE_END();
 
@@ -28,7 +28,7 @@
 	{
 		const char* path;
 		bool required;
-		const char* rules; ///< Of the schema, descriptions left out.
+		const char* rules; ///< Rules of the schema, without descriptions.
 	};
 
 	static void collect(
@@ -92,7 +92,7 @@
 		CPPUNIT_ASSERT_EQUAL(std::size(known), rows.size());
 	}
 
-	void schema_passes_over_keys_that_it_does_not_know()
+	void schema_ignores_unknown_keys()
 	{
 		CPPUNIT_ASSERT_EQUAL(std::string("object"), schema_entry_settings().at("type").get<std::string>());
 		CPPUNIT_ASSERT(!schema_entry_settings().contains("additionalProperties"));
@@ -140,7 +140,7 @@
 		CPPUNIT_ASSERT_EQUAL(0.25, settings.expose_share);
 	}
 
-	void settings_with_the_least_get_the_known_defaults()
+	void settings_with_required_keys_get_the_known_defaults()
 	{
 		const entry_settings settings = read(R"({"name": "n1", "region": "east", "domain": "east-a",
 			"ip": "10.0.0.1", "listen": {"callers": "10.0.0.1:80"}, "inner_ports": [7000, 7010],
--- a/tests/forms/event_catalogue_form_test.cpp
+++ b/tests/forms/event_catalogue_form_test.cpp
@@ -2,7 +2,7 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Numbers, names, severities and texts of all log events: alarms and dashboards go by them.
+/// Pins the numbers, names, severities and texts of all log events, which alarms and dashboards rely on.
 
 #include "fixtures.h"
 
--- a/tests/forms/foreign_entries_form_test.cpp
+++ b/tests/forms/foreign_entries_form_test.cpp
@@ -2,7 +2,8 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// A registry in which anyone may write: entries with bytes, fields and types at random beside sound ones.
+/// Anyone may write to the registry: entries with random changes must not affect the valid entries beside
+/// them, whether a node gets them by a read, by a watch or from a peer's datagrams.
 
 #include "fixtures.h"
 
@@ -17,16 +18,16 @@
 {
 namespace
 {
-std::string sound_entry()
+std::string valid_entry()
 {
 	return R"({"Address":"10.0.1.1:8080","Info":{"Service":"shop","Version":"v1","Zone":"east-a","Slots":4},)"
 	       R"("Status":{"State":"ready","CallSeq":4,"WarmupLeftMs":0},"born":1796083200123})";
 }
 
-/// A sound entry with bytes changed, taken out and put in.
+/// @returns A valid entry with random bytes changed, removed or inserted, or its end cut off.
 std::string mutated_entry()
 {
-	std::string text = sound_entry();
+	std::string text = valid_entry();
 	const int changes = *rc::gen::inRange(1, 8);
 	for (int i = 0; i < changes && !text.empty(); ++i)
 	{
@@ -54,11 +55,11 @@
 class foreign_entries_form_test : public CppUnit::TestFixture
 {
 	CPPUNIT_TEST_SUITE(foreign_entries_form_test);
-	CPPUNIT_TEST(entries_at_random_take_no_other_entry_with_them);
+	CPPUNIT_TEST(random_entries_leave_valid_entries_usable);
 	CPPUNIT_TEST_SUITE_END();
 
 protected:
-	void entries_at_random_take_no_other_entry_with_them()
+	void random_entries_leave_valid_entries_usable()
 	{
 		const bool held = rc::check("sound entries hold, however they come",
 		    []()
@@ -69,7 +70,7 @@
 			    const std::unordered_map<std::string, std::string> regions{{"east-a", "east"}};
 			    std::vector<std::unique_ptr<backend_registry>> registries;
 			    std::vector<std::unique_ptr<state_replica>> replicas;
-			    for (int way = 0; way < 3; ++way)
+			    for (int source = 0; source < 3; ++source)
 			    {
 				    registries.push_back(std::make_unique<backend_registry>(regions));
 				    replicas.push_back(std::make_unique<state_replica>(
@@ -84,20 +85,20 @@
 			    watch_batch batch;
 			    for (std::int64_t revision = 1; revision <= 9; ++revision)
 			    {
-				    const bool sound = 0 == revision % 3;
+				    const bool valid = 0 == revision % 3;
 				    const std::string key =
-				        (sound ? "servers/sound" : "servers/odd") + std::to_string(revision);
-				    batch.puts.push_back({key, sound ? sound_entry() : mutated_entry(), revision, 0});
+				        (valid ? "servers/sound" : "servers/odd") + std::to_string(revision);
+				    batch.puts.push_back({key, valid ? valid_entry() : mutated_entry(), revision, 0});
 			    }
 			    batch.store_revision = 9;
-			    replicas[0]->replace(batch.puts, 9); // A read of all keys.
-			    replicas[1]->apply(batch);           // A watch.
+			    replicas[0]->replace(batch.puts, 9); // From a read of all keys.
+			    replicas[1]->apply(batch);           // From a watch.
 			    for (const store_changes& part : split_for_datagrams({0, false, batch}))
 			    {
 				    const std::vector<std::uint8_t> bytes = encode(part);
-				    const result<store_changes> told = decode_store_changes(bytes.data(), bytes.size());
-				    RC_ASSERT(std::holds_alternative<store_changes>(told));
-				    replicas[2]->apply(std::get<store_changes>(told)); // Told datagrams.
+				    const result<store_changes> received = decode_store_changes(bytes.data(), bytes.size());
+				    RC_ASSERT(std::holds_alternative<store_changes>(received));
+				    replicas[2]->apply(std::get<store_changes>(received)); // From a peer's datagrams.
 			    }
 			    for (const auto& registry : registries)
 			    {
--- a/tests/forms/golden.h
+++ b/tests/forms/golden.h
@@ -2,7 +2,7 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Bytes as hexadecimal text, for tests that hold a form byte by byte.
+/// Bytes as hexadecimal text, for tests that compare datagrams with recorded bytes.
 #pragma once
 
 #include <cstdint>
--- a/tests/forms/heartbeat_form_test.cpp
+++ b/tests/forms/heartbeat_form_test.cpp
@@ -2,7 +2,7 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// The datagram by which nodes of different versions tell each other that they are there, byte by byte.
+/// Pins the bytes of the heartbeat datagram, which nodes of different versions exchange.
 
 #include "fixtures.h"
 #include "forms/golden.h"
@@ -43,25 +43,26 @@
 
 	static node_heartbeat full()
 	{
-		node_heartbeat one;
-		one.node = node_name("n1");
-		one.incarnation = 1700000000000001ULL;
-		one.sequence = 300;
-		one.domain = domain_name("east-a");
-		one.region = region_name("east");
-		one.ip = "10.0.0.1";
-		one.callers = "10.0.0.1:80";
-		one.state = node_state::stopping;
-		one.config_version = 17;
-		one.store_revision = 70000;
-		one.store_reached = false;
-		one.store_answer_age = std::chrono::milliseconds(250);
-		one.requests_per_s = {{service_name("files"), 0.1}, {service_name("shop"), 12.5}};
-		one.sent_per_s = {{service_name("shop"), {{region_name("east"), 8.0}, {region_name("west"), 4.5}}}};
-		one.in_flight = {{0xdeadbeefU, 3}, {7U, 0}};
-		one.known_ips = {"10.0.0.2", "10.0.0.3"};
-		one.neighbours = {{7U, node_state::ready, std::chrono::milliseconds(770)}};
-		return one;
+		node_heartbeat heartbeat;
+		heartbeat.node = node_name("n1");
+		heartbeat.incarnation = 1700000000000001ULL;
+		heartbeat.sequence = 300;
+		heartbeat.domain = domain_name("east-a");
+		heartbeat.region = region_name("east");
+		heartbeat.ip = "10.0.0.1";
+		heartbeat.callers = "10.0.0.1:80";
+		heartbeat.state = node_state::stopping;
+		heartbeat.config_version = 17;
+		heartbeat.store_revision = 70000;
+		heartbeat.store_reached = false;
+		heartbeat.store_answer_age = std::chrono::milliseconds(250);
+		heartbeat.requests_per_s = {{service_name("files"), 0.1}, {service_name("shop"), 12.5}};
+		heartbeat.sent_per_s = {
+		    {service_name("shop"), {{region_name("east"), 8.0}, {region_name("west"), 4.5}}}};
+		heartbeat.in_flight = {{0xdeadbeefU, 3}, {7U, 0}};
+		heartbeat.known_ips = {"10.0.0.2", "10.0.0.3"};
+		heartbeat.neighbours = {{7U, node_state::ready, std::chrono::milliseconds(770)}};
+		return heartbeat;
 	}
 
 	static result<node_heartbeat> decode(const std::vector<std::uint8_t>& _bytes)
@@ -82,45 +83,46 @@
 	void heartbeat_known_bytes_decoded_have_all_fields()
 	{
 		result<node_heartbeat> decoded = decode(from_hex(full_bytes()));
-		const node_heartbeat* one = value_of(decoded);
-		CPPUNIT_ASSERT(nullptr != one);
-		CPPUNIT_ASSERT_EQUAL(std::string("n1"), one->node.text);
-		CPPUNIT_ASSERT_EQUAL(std::uint64_t{1700000000000001ULL}, one->incarnation);
-		CPPUNIT_ASSERT_EQUAL(std::uint64_t{300}, one->sequence);
-		CPPUNIT_ASSERT_EQUAL(std::string("east-a"), one->domain.text);
-		CPPUNIT_ASSERT_EQUAL(std::string("east"), one->region.text);
-		CPPUNIT_ASSERT_EQUAL(std::string("10.0.0.1"), one->ip);
-		CPPUNIT_ASSERT_EQUAL(std::string("10.0.0.1:80"), one->callers);
-		CPPUNIT_ASSERT(node_state::stopping == one->state);
-		CPPUNIT_ASSERT_EQUAL(std::uint64_t{17}, one->config_version);
-		CPPUNIT_ASSERT_EQUAL(std::int64_t{70000}, one->store_revision);
-		CPPUNIT_ASSERT(!one->store_reached);
-		CPPUNIT_ASSERT(one->store_answer_age && 250 == one->store_answer_age->count());
+		const node_heartbeat* heartbeat = value_of(decoded);
+		CPPUNIT_ASSERT(nullptr != heartbeat);
+		CPPUNIT_ASSERT_EQUAL(std::string("n1"), heartbeat->node.text);
+		CPPUNIT_ASSERT_EQUAL(std::uint64_t{1700000000000001ULL}, heartbeat->incarnation);
+		CPPUNIT_ASSERT_EQUAL(std::uint64_t{300}, heartbeat->sequence);
+		CPPUNIT_ASSERT_EQUAL(std::string("east-a"), heartbeat->domain.text);
+		CPPUNIT_ASSERT_EQUAL(std::string("east"), heartbeat->region.text);
+		CPPUNIT_ASSERT_EQUAL(std::string("10.0.0.1"), heartbeat->ip);
+		CPPUNIT_ASSERT_EQUAL(std::string("10.0.0.1:80"), heartbeat->callers);
+		CPPUNIT_ASSERT(node_state::stopping == heartbeat->state);
+		CPPUNIT_ASSERT_EQUAL(std::uint64_t{17}, heartbeat->config_version);
+		CPPUNIT_ASSERT_EQUAL(std::int64_t{70000}, heartbeat->store_revision);
+		CPPUNIT_ASSERT(!heartbeat->store_reached);
+		CPPUNIT_ASSERT(heartbeat->store_answer_age && 250 == heartbeat->store_answer_age->count());
 		CPPUNIT_ASSERT((rate_by_service{{service_name("files"), 0.1}, {service_name("shop"), 12.5}}) ==
-		               one->requests_per_s);
-		CPPUNIT_ASSERT_EQUAL(std::size_t(1), one->sent_per_s.size());
+		               heartbeat->requests_per_s);
+		CPPUNIT_ASSERT_EQUAL(std::size_t(1), heartbeat->sent_per_s.size());
 		CPPUNIT_ASSERT((rate_by_region{{region_name("east"), 8.0}, {region_name("west"), 4.5}}) ==
-		               one->sent_per_s.at(service_name("shop")));
-		CPPUNIT_ASSERT_EQUAL(std::size_t(2), one->in_flight.size());
-		CPPUNIT_ASSERT_EQUAL(0xdeadbeefU, one->in_flight[0].id_hash);
-		CPPUNIT_ASSERT_EQUAL(3, one->in_flight[0].in_flight);
-		CPPUNIT_ASSERT_EQUAL(7U, one->in_flight[1].id_hash);
-		CPPUNIT_ASSERT_EQUAL(0, one->in_flight[1].in_flight);
-		CPPUNIT_ASSERT((std::vector<std::string>{"10.0.0.2", "10.0.0.3"}) == one->known_ips);
-		CPPUNIT_ASSERT_EQUAL(std::size_t(1), one->neighbours.size());
-		CPPUNIT_ASSERT_EQUAL(7U, one->neighbours[0].name_hash);
-		CPPUNIT_ASSERT(node_state::ready == one->neighbours[0].state);
-		CPPUNIT_ASSERT(std::chrono::milliseconds(750) == one->neighbours[0].age); // In steps of 50 ms.
+		               heartbeat->sent_per_s.at(service_name("shop")));
+		CPPUNIT_ASSERT_EQUAL(std::size_t(2), heartbeat->in_flight.size());
+		CPPUNIT_ASSERT_EQUAL(0xdeadbeefU, heartbeat->in_flight[0].id_hash);
+		CPPUNIT_ASSERT_EQUAL(3, heartbeat->in_flight[0].in_flight);
+		CPPUNIT_ASSERT_EQUAL(7U, heartbeat->in_flight[1].id_hash);
+		CPPUNIT_ASSERT_EQUAL(0, heartbeat->in_flight[1].in_flight);
+		CPPUNIT_ASSERT((std::vector<std::string>{"10.0.0.2", "10.0.0.3"}) == heartbeat->known_ips);
+		CPPUNIT_ASSERT_EQUAL(std::size_t(1), heartbeat->neighbours.size());
+		CPPUNIT_ASSERT_EQUAL(7U, heartbeat->neighbours[0].name_hash);
+		CPPUNIT_ASSERT(node_state::ready == heartbeat->neighbours[0].state);
+		CPPUNIT_ASSERT(std::chrono::milliseconds(750) ==
+		               heartbeat->neighbours[0].age); // Ages are sent in steps of 50 ms.
 	}
 
 	void heartbeat_without_store_answer_decoded_has_no_age()
 	{
 		result<node_heartbeat> decoded = decode(from_hex(empty_bytes()));
-		const node_heartbeat* one = value_of(decoded);
-		CPPUNIT_ASSERT(nullptr != one);
-		CPPUNIT_ASSERT(!one->store_answer_age);
-		CPPUNIT_ASSERT(one->store_reached);
-		CPPUNIT_ASSERT(node_state::starting == one->state);
+		const node_heartbeat* heartbeat = value_of(decoded);
+		CPPUNIT_ASSERT(nullptr != heartbeat);
+		CPPUNIT_ASSERT(!heartbeat->store_answer_age);
+		CPPUNIT_ASSERT(heartbeat->store_reached);
+		CPPUNIT_ASSERT(node_state::starting == heartbeat->state);
 	}
 
 	void heartbeat_of_another_layout_is_refused()
@@ -139,11 +141,11 @@
 	void heartbeat_with_a_field_more_or_less_is_refused()
 	{
 		std::vector<std::uint8_t> longer = from_hex(empty_bytes());
-		longer.at(0) = 0x93; // Array of 19.
+		longer.at(0) = 0x93; // An array of 19 elements.
 		longer.push_back(0);
 		CPPUNIT_ASSERT(std::holds_alternative<error>(decode(longer)));
 		std::vector<std::uint8_t> shorter = from_hex(empty_bytes());
-		shorter.at(0) = 0x91; // Array of 17.
+		shorter.at(0) = 0x91; // An array of 17 elements.
 		shorter.pop_back();
 		CPPUNIT_ASSERT(std::holds_alternative<error>(decode(shorter)));
 	}
--- a/tests/forms/limit_form_test.cpp
+++ b/tests/forms/limit_form_test.cpp
@@ -2,7 +2,7 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// The datagrams by which nodes tell limits of backend servers and lend their tokens, byte by byte.
+/// Pins the bytes of the datagrams by which nodes report limits of backend servers and lend tokens of them.
 
 #include "fixtures.h"
 #include "forms/golden.h"
@@ -14,11 +14,11 @@
 class limit_form_test : public CppUnit::TestFixture
 {
 	CPPUNIT_TEST_SUITE(limit_form_test);
-	CPPUNIT_TEST(word_has_the_known_bytes);
+	CPPUNIT_TEST(report_has_the_known_bytes);
 	CPPUNIT_TEST(request_has_the_known_bytes);
 	CPPUNIT_TEST(grant_has_the_known_bytes);
-	CPPUNIT_TEST(bytes_of_other_datagrams_are_told_apart);
-	CPPUNIT_TEST(message_that_is_absurd_is_refused);
+	CPPUNIT_TEST(bytes_of_other_datagrams_are_distinguished);
+	CPPUNIT_TEST(message_invalid_is_refused);
 	CPPUNIT_TEST_SUITE_END();
 
 protected:
@@ -28,7 +28,7 @@
 		return decode_limit_message(bytes.data(), bytes.size(), k_now);
 	}
 
-	void word_has_the_known_bytes()
+	void report_has_the_known_bytes()
 	{
 		const limit_message ended{7, {std::nullopt, k_now - std::chrono::milliseconds(20)}, {}};
 		const std::string known = "85186a0700008114";
@@ -61,7 +61,7 @@
 		CPPUNIT_ASSERT(7 == grant.customer && 0 == grant.granted && 300 == grant.wait.count());
 	}
 
-	void bytes_of_other_datagrams_are_told_apart()
+	void bytes_of_other_datagrams_are_distinguished()
 	{
 		for (const char* other : {"920560000060606060000000a080a080f52080", "86186600f4008080", "8418650701"})
 		{
@@ -73,24 +73,24 @@
 		CPPUNIT_ASSERT(!is_limit_message(word.data(), 0));
 	}
 
-	void message_that_is_absurd_is_refused()
+	void message_invalid_is_refused()
 	{
-		const char* const absurd[] = {
-		    "",                                   // Nothing.
+		const char* const invalid[] = {
+		    "",                                   // Empty.
 		    "8518690700008114",                   // Another layout.
-		    "85186b0700008200190b54",             // No tokens wanted.
-		    "85186b0703028200190b54",             // No such lender.
-		    "85186a1b00000001000000000000811400", // A life of more than 32 bits.
-		    "85186a07000080",                     // No word.
-		    "85186a070000820001",                 // A limit below the least.
-		    "85186a07000082001b000000e8d4a51000", // A limit above the most.
+		    "85186b0700008200190b54",             // Zero tokens wanted.
+		    "85186b0703028200190b54",             // An unknown lender rank.
+		    "85186a1b00000001000000000000811400", // An incarnation of more than 32 bits.
+		    "85186a07000080",                     // No report.
+		    "85186a070000820001",                 // A limit below the minimum.
+		    "85186a07000082001b000000e8d4a51000", // A limit above the maximum.
 		    "85186a0700008120",                   // A negative age.
-		    "85186a07000081fa41a00000",           // An age that is no count.
-		    "85186a070000811a000f4240",           // A word of more than ten minutes ago.
+		    "85186a07000081fa41a00000",           // An age that is no integer.
+		    "85186a070000811a000f4240",           // A report of more than ten minutes ago.
 		    "85186c070020820019138800",           // A negative wait.
-		    "85186a070000",                       // Cut short.
+		    "85186a070000",                       // Truncated.
 		};
-		for (const char* hex : absurd)
+		for (const char* hex : invalid)
 		{
 			CPPUNIT_ASSERT_MESSAGE(hex, std::holds_alternative<error>(decode(hex)));
 		}
--- a/tests/forms/platform_keys_form_test.cpp
+++ b/tests/forms/platform_keys_form_test.cpp
@@ -2,8 +2,8 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Keys and values of the platform's store, header names and look-ups, as larkrack-edge reads and writes
-/// them.
+/// Pins the keys and values of the platform's store, the header names and the lookups, as larkrack-edge reads
+/// and writes them.
 
 #include "fixtures.h"
 
@@ -17,7 +17,7 @@
 	CPPUNIT_TEST(keys_have_their_kinds_and_names);
 	CPPUNIT_TEST(node_key_is_written_under_its_prefix);
 	CPPUNIT_TEST(routes_full_are_read);
-	CPPUNIT_TEST(routes_with_the_least_get_the_known_defaults);
+	CPPUNIT_TEST(routes_with_required_fields_get_the_known_defaults);
 	CPPUNIT_TEST(routes_kinds_give_repeat_rules);
 	CPPUNIT_TEST(routes_that_are_incomplete_are_refused);
 	CPPUNIT_TEST(routes_version_is_a_letter_and_a_number);
@@ -25,16 +25,16 @@
 	CPPUNIT_TEST(routes_with_a_shared_key_are_refused_without_naming_it);
 	CPPUNIT_TEST(routes_cut_short_are_refused_without_the_last_text);
 	CPPUNIT_TEST(backend_full_is_read);
-	CPPUNIT_TEST(backend_that_does_not_tell_its_start_is_read);
+	CPPUNIT_TEST(backend_without_start_time_is_read);
 	CPPUNIT_TEST(backend_that_drains_is_read);
 	CPPUNIT_TEST(backend_that_is_incomplete_is_refused);
 	CPPUNIT_TEST(backend_with_a_field_of_another_type_is_refused);
-	CPPUNIT_TEST(backend_with_an_absurd_value_is_refused);
+	CPPUNIT_TEST(backend_with_value_out_of_range_is_refused);
 	CPPUNIT_TEST(rollout_order_is_read);
-	CPPUNIT_TEST(rollout_order_that_is_none_is_refused);
+	CPPUNIT_TEST(rollout_order_invalid_is_refused);
 	CPPUNIT_TEST(rollout_status_written_is_read_back);
 	CPPUNIT_TEST(block_written_is_read_back);
-	CPPUNIT_TEST(block_that_is_absurd_is_refused);
+	CPPUNIT_TEST(block_invalid_is_refused);
 	CPPUNIT_TEST(headers_have_the_names_of_the_platform);
 	CPPUNIT_TEST(lookup_target_is_read);
 	CPPUNIT_TEST(lookup_answer_has_the_known_text);
@@ -120,7 +120,7 @@
 		CPPUNIT_ASSERT(std::chrono::milliseconds(7000) == table->limits().idle_timeout);
 	}
 
-	void routes_with_the_least_get_the_known_defaults()
+	void routes_with_required_fields_get_the_known_defaults()
 	{
 		const auto table =
 		    routes_of(R"({"Version": "", "Routes": [{"Host": "h", "PathPrefix": "/", "Service": "shop"}],
@@ -239,7 +239,8 @@
 		CPPUNIT_ASSERT(std::string::npos == why.find("hidden"));
 	}
 
-	/// An entry with all that the platform's page names; one field may have another text, or be left out.
+	/// @returns An entry with all documented fields; the value of one field is replaced by a text, or the
+	/// field is left out if the text is empty.
 	static std::string entry_with(const std::string& _field = "", const std::string& _text = "")
 	{
 		const auto field = [&](const std::string& _name, const std::string& _usual)
@@ -268,7 +269,7 @@
 		CPPUNIT_ASSERT_EQUAL(std::int64_t{1796083200123}, record.born_ms);
 	}
 
-	void backend_that_does_not_tell_its_start_is_read()
+	void backend_without_start_time_is_read()
 	{
 		CPPUNIT_ASSERT_EQUAL(std::int64_t{0}, backend_of(entry_with("born")).born_ms);
 	}
@@ -299,7 +300,7 @@
 		{
 			expect_refused("servers/b1", entry_with(field));
 		}
-		expect_refused("servers/", entry_with()); // It has no id.
+		expect_refused("servers/", entry_with()); // The key has no id.
 	}
 
 	void backend_with_a_field_of_another_type_is_refused()
@@ -322,7 +323,7 @@
 		}
 	}
 
-	void backend_with_an_absurd_value_is_refused()
+	void backend_with_value_out_of_range_is_refused()
 	{
 		for (const char* slots : {"0", "-1", "1e300", "2000000"})
 		{
@@ -357,7 +358,7 @@
 		CPPUNIT_ASSERT_EQUAL(std::int64_t{9}, order->revision);
 	}
 
-	void rollout_order_that_is_none_is_refused()
+	void rollout_order_invalid_is_refused()
 	{
 		for (const char* value : {"no JSON", "[]", "{}", R"({"Service": "shop", "TargetVersion": "v2"})",
 		         R"({"Service": "shop", "TargetVersion": "v2", "DurationS": 0})",
@@ -394,7 +395,7 @@
 		CPPUNIT_ASSERT(!codec.block_write(block).value);
 	}
 
-	void block_that_is_absurd_is_refused()
+	void block_invalid_is_refused()
 	{
 		const platform_codec codec;
 		const std::string value = R"({"Change":3,"Head":"1122334455667788","Looks":1,"Versions":7})";
@@ -405,10 +406,10 @@
 			CPPUNIT_ASSERT_MESSAGE(
 			    name, std::holds_alternative<error>(codec.decode_block({key, value, 3, 0})));
 		}
-		for (const char* absurd : {"", "7", "{}", R"({"Head":""})", R"({"Head":"xyz"})", R"({"Head":7})"})
+		for (const char* invalid : {"", "7", "{}", R"({"Head":""})", R"({"Head":"xyz"})", R"({"Head":7})"})
 		{
-			CPPUNIT_ASSERT_MESSAGE(absurd,
-			    std::holds_alternative<error>(codec.decode_block({"status/blocked/99-1", absurd, 3, 0})));
+			CPPUNIT_ASSERT_MESSAGE(invalid,
+			    std::holds_alternative<error>(codec.decode_block({"status/blocked/99-1", invalid, 3, 0})));
 		}
 		const auto by_hand = codec.decode_block({"status/blocked/99-0", R"({"Head":"99"})", 3, 0});
 		CPPUNIT_ASSERT_EQUAL(k_most_looks, std::get<request_block>(by_hand).looks);
--- a/tests/forms/programs.py
+++ b/tests/forms/programs.py
@@ -1,11 +1,11 @@
 #!/usr/bin/env python3
 # Copyright 2026 the larkrack developers. All rights reserved.
 # License: BSD 2-Clause, see LICENSE.
-"""Forms of larkrack-edge that show only from outside: command line, log lines, metrics, calls to the store.
+"""Pins what larkrack-edge shows to the outside: command line, log lines, metrics, calls to the store.
 
 usage: tests/forms/programs.py [FOLDER]     (build/bin)
 
-Runs the program on loopback beside the stand-ins of the soak and compares with the texts in this file.
+Runs the program on loopback with the stand-ins of the soak and compares its output with the texts in this file.
 """
 import asyncio
 import json
@@ -29,14 +29,14 @@
 BACKEND = ("127.91.0.2", 18100)
 NODES = ("127.91.1.1", "127.91.1.2")
 CALLERS, READINESS, LOOKUPS, PEERS, METRICS = 18080, 18081, 18082, 18083, 18084
-WAIT_S = 15.0  # Longest wait for a log line; nothing is measured.
+WAIT_S = 15.0  # Maximum wait for a log line or for the end of a program.
 
 USAGE = (
     "usage: larkrack-edge [--check] [SETTINGS.json]   (or its path in LARKRACK_CONFIG)\n"
     "  --check   tells all mistakes in the settings and ends\n"
 )
 
-# Keys behind t_us, node, event and name, in order.
+# Keys of a log line after t_us, node, event and name, in their order.
 LOG_LINES = {
     (1001, "node_started"): "region domain callers",
     (1002, "node_stopping"): "in_flight",
@@ -161,7 +161,7 @@
 
 
 class CommandLine(unittest.TestCase):
-    """Usage, messages and exit codes."""
+    """Tests the usage text, messages and exit codes."""
 
     def setUp(self):
         self.folder = tempfile.TemporaryDirectory()
@@ -207,7 +207,7 @@
         self.check(["--check"], 0, "ok.json: valid\n", "", {"LARKRACK_CONFIG": "ok.json"})
         self.check(["--check", "ok.json"], 0, "ok.json: valid\n", "", {"LARKRACK_CONFIG": "missing.json"})
 
-    def test_keys_unknown_are_told_with_the_nearest_one(self):
+    def test_keys_unknown_are_printed_with_the_nearest_key(self):
         document = settings()
         document.update({"seed": [], "zzzzzzzzzzzz": 1})
         document["listen"]["caller"] = "x"
@@ -221,7 +221,7 @@
             "larkrack-edge: /zzzzzzzzzzzz is not known and is passed over\n",
         )
 
-    def test_settings_invalid_all_mistakes_are_told(self):
+    def test_settings_invalid_all_mistakes_are_printed(self):
         document = settings()
         document.update({"name": "", "store": "nowhere", "inner_ports": [1]})
         document["bounds"]["retry_ratio"] = 3
@@ -242,7 +242,7 @@
             "Missing required property 'region'.\n",
         )
 
-    def test_address_not_to_be_had_ends_with_1(self):
+    def test_address_unavailable_ends_with_1(self):
         document = settings()
         document["listen"]["callers"] = "192.0.2.1:18080"
         self.write("away.json", document)
@@ -252,21 +252,21 @@
 
 
 class RecordedStore(kv_store.KvStore):
-    """Keeps the first call of each kind as it came."""
+    """A store that records the first call of each kind, and can be unavailable."""
 
     def __init__(self):
         super().__init__(random.Random(1))
         self.calls = {}
-        self.away = False
+        self.unavailable = False
 
     async def _call(self, request):
         kind = request.start[0] + " " + request.target.split("?")[0].rstrip("0123456789")
         self.calls.setdefault(kind, request)
-        return (503, {}) if self.away else await super()._call(request)
+        return (503, {}) if self.unavailable else await super()._call(request)
 
 
 class Node:
-    """One process, with its log lines."""
+    """One larkrack-edge process and its log lines."""
 
     def __init__(self, folder, number):
         self.path = os.path.join(folder, "n%d.json" % (number + 1))
@@ -290,7 +290,7 @@
                 self.arrived.notify_all()
 
     async def until(self, name):
-        """Waits for the first line of an event."""
+        """Waits until an event was logged."""
         async with self.arrived:
             await asyncio.wait_for(
                 self.arrived.wait_for(lambda: any(line["name"] == name for line in self.lines)), WAIT_S
@@ -312,10 +312,10 @@
 
 
 class Running(unittest.IsolatedAsyncioTestCase):
-    """Two nodes through start, changes, an outage of the store, a reload and a planned stop."""
+    """Tests two nodes through a start, changes, an outage of the store, a reload and a planned stop."""
 
     async def serve_backend(self, reader, writer):
-        """Answers the first request as not run, all others as run."""
+        """Responds to the first request as not run and to all others as run."""
         while request := await wire.read_message(reader):
             self.served += 1
             headers = {"Request-Id": request.headers["request-id"]}
@@ -368,9 +368,9 @@
             ready = await call((NODES[0], READINESS), "GET", "/")
             metrics = await call((NODES[0], METRICS), "GET", "/metrics")
             changes = await call((NODES[0], PEERS), "GET", "/changes?after=0&routes=0")
-            store.away = True
+            store.unavailable = True
             await one.until("platform_down")
-            store.away = False
+            store.unavailable = False
             await one.until("platform_up")
             one.process.send_signal(signal.SIGHUP)
             await one.until("settings_reloaded")
@@ -383,7 +383,7 @@
             await one.until("peer_suspected")
         finally:
             await asyncio.gather(one.stop(), two.stop())
-            await store.put("end", "")  # Ends the watches that wait.
+            await store.put("end", "")  # Ends pending watches.
             await asyncio.sleep(0.1)
             server.close()
             backend_server.close()
@@ -401,7 +401,7 @@
             os.close(writing)
             os.close(reading)
             try:
-                await asyncio.sleep(1.0)  # It has written its first lines, and more with each change.
+                await asyncio.sleep(1.0)  # The node has logged its first lines, and logs more at each change.
                 await store.put("op/config", configuration("v8"))
                 await asyncio.sleep(1.0)
                 self.assertIsNone(process.returncode)
@@ -447,7 +447,7 @@
             self.assertEqual("n1", line["node"])
             seen.setdefault((line["event"], line["name"]), " ".join(list(line)[4:]))
         self.assertEqual(LOG_LINES, {key: fields for key, fields in seen.items() if key in LOG_LINES})
-        # The planned stop tells of it, and so does the end of the process.
+        # node_stopped is logged twice: by the planned stop and at the end of the process.
         self.assertEqual(["node_stopped"] * 2, [line["name"] for line in node.lines[-2:]])
         self.assertEqual(["t_us", "node", "event", "name"], list(node.lines[-1]))
 
--- a/tests/forms/programs_daemon.py
+++ b/tests/forms/programs_daemon.py
@@ -1,11 +1,11 @@
 #!/usr/bin/env python3
 # Copyright 2026 the larkrack developers. All rights reserved.
 # License: BSD 2-Clause, see LICENSE.
-"""Holds the usage texts, exit codes, outputs and requests of larkrackd, larkrack, larkrack-trace and larkrack-check.
+"""Pins the usage texts, exit codes, outputs and requests of larkrackd, larkrack, larkrack-trace and larkrack-check.
 
 Runs the programs of a build (argument: the folder with the programs, default build/bin) against a stand-in of the
-operators' listener on the loopback address, and compares what they did with programs_daemon.expected, which was
-written down from a run. Ends with 0 when everything is the same, else 1.
+operators' listener on the loopback address, and compares the results with programs_daemon.expected, which was
+recorded from a run. Exits with 0 if everything is the same, otherwise with 1.
 """
 
 import http.server
@@ -166,7 +166,7 @@
     "sent": True,
 }
 
-# Name of a case, arguments of larkrack, answers of the stand-in in their order.
+# Name of a case, arguments of larkrack, responses of the fake listener in their order.
 OPERATOR_CASES = [
     ("apply accepted", ["apply", "-f", "resources.json"], [ACCEPTED]),
     ("apply from standard input", ["apply", "-f", "-"], [ACCEPTED]),
@@ -237,8 +237,8 @@
 ]
 
 
-class stand_in:
-    """Answers requests in the order of a script and keeps them."""
+class fake_operators:
+    """A fake operators' listener that records requests and sends scripted responses in their order."""
 
     def __init__(self, answers):
         self.requests = []
@@ -264,7 +264,7 @@
             do_GET = do_PUT = do_POST = do_DELETE = answer
 
             def log_message(self, *_):
-                """Nothing: the requests are compared, not shown."""
+                """Does nothing, so that requests are not printed."""
 
         self.server = http.server.ThreadingHTTPServer(("127.0.0.1", 0), handler)
         self.server.daemon_threads = True
@@ -307,7 +307,7 @@
         (folder / name).write_text(json.dumps(document))
     (folder / "bad.json").write_text("{")
     lines = [json.dumps(line) for line in LOG]
-    # A collector may put words of its own before a line, and there are lines of other programs.
+    # A log collector may prefix a line with text of its own, and lines of other programs may stand between.
     (folder / "one.log").write_text("\n".join(["no JSON", '{"other":1}', "collector " + lines[0]] + lines[1:]) + "\n")
     (folder / "two.log").write_text(json.dumps(dict(LOG[3], t_us=1400000, node="west-1", why="shed")) + "\n")
     (folder / "good.jsonl").write_text(json.dumps(RUN) + "\n" + json.dumps(REQUEST) + "\n")
@@ -329,12 +329,12 @@
     text = f"exit {done.returncode}\n"
     text += "".join(f"out {line}\n" for line in done.stdout.splitlines())
     text += "".join(f"err {line}\n" for line in done.stderr.splitlines())
-    # Where the sources lay when the program was built is no part of its help.
+    # The help contains the path of the sources at build time, which differs between builds.
     return re.sub(r"Flags from \S*tools/", "Flags from tools/", text)
 
 
 def operator_case(programs, folder, arguments, answers):
-    server = stand_in(answers)
+    server = fake_operators(answers)
     text = run(
         programs,
         folder,
@@ -351,7 +351,7 @@
 
 
 def daemon_case(programs, folder):
-    """Starts larkrackd, asks it to stop, and gives its log and exit code."""
+    """Starts larkrackd, stops it by SIGTERM, and returns its log and exit code."""
     ports = free_ports(4)
     (folder / "daemon.json").write_text(json.dumps(settings_for(ports)))
     daemon = subprocess.Popen(
@@ -365,7 +365,7 @@
     for line in daemon.stdout:
         lines.append(without_times(line))
         if "node_started" in line:
-            # It answers only after its signal handlers are set.
+            # larkrackd responds only after its signal handlers are set.
             urllib.request.urlopen(f"http://127.0.0.1:{ports[3]}/v1/status", timeout=20).read()
             daemon.send_signal(signal.SIGTERM)
     return "".join(f"out {line}" for line in lines) + f"exit {daemon.wait(timeout=60)}\n"
@@ -378,8 +378,8 @@
         return without_times(run(programs, folder, ["larkrackd", "--settings", "taken.json"]))
 
 
-def answers_of(programs):
-    """Gives the text of each case by its name."""
+def texts_by_case(programs):
+    """Runs all cases and returns their texts by name."""
     with tempfile.TemporaryDirectory() as name:
         folder = pathlib.Path(name)
         write_files(folder)
@@ -400,7 +400,7 @@
 def main():
     programs = pathlib.Path(sys.argv[1] if 1 < len(sys.argv) else "build/bin").resolve()
     expected = expected_texts()
-    found = answers_of(programs)
+    found = texts_by_case(programs)
     different = [case for case in sorted(set(expected) | set(found)) if expected.get(case) != found.get(case)]
     for case in different:
         print(f"{case}: expected\n{expected.get(case, '(no such case)')}found\n{found.get(case, '(no such case)')}")
--- a/tests/forms/quota_form_test.cpp
+++ b/tests/forms/quota_form_test.cpp
@@ -2,7 +2,7 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// The datagrams by which nodes borrow and lend tokens of customers, byte by byte.
+/// Pins the bytes of the datagrams by which nodes borrow and lend tokens of customers.
 
 #include "fixtures.h"
 #include "forms/golden.h"
@@ -16,8 +16,8 @@
 	CPPUNIT_TEST_SUITE(quota_form_test);
 	CPPUNIT_TEST(request_has_the_known_bytes);
 	CPPUNIT_TEST(grant_has_the_known_bytes);
-	CPPUNIT_TEST(bytes_of_other_datagrams_are_told_apart);
-	CPPUNIT_TEST(message_that_is_absurd_is_refused);
+	CPPUNIT_TEST(bytes_of_other_datagrams_are_distinguished);
+	CPPUNIT_TEST(message_invalid_is_refused);
 	CPPUNIT_TEST_SUITE_END();
 
 protected:
@@ -48,7 +48,7 @@
 		CPPUNIT_ASSERT(7 == grant.customer && 0 == grant.granted && 300 == grant.wait.count());
 	}
 
-	void bytes_of_other_datagrams_are_told_apart()
+	void bytes_of_other_datagrams_are_distinguished()
 	{
 		const std::vector<std::uint8_t> heartbeat = from_hex("920560000060606060000000a080a080f52080");
 		const std::vector<std::uint8_t> changes = from_hex("86186600f4008080");
@@ -59,16 +59,16 @@
 		CPPUNIT_ASSERT(is_quota_message(grant.data(), grant.size()));
 	}
 
-	void message_that_is_absurd_is_refused()
+	void message_invalid_is_refused()
 	{
-		const char* const absurd[] = {
-		    "", // Nothing.
+		const char* const invalid[] = {
+		    "", // Empty.
 		    "8418670700"
 		    "00", // Another layout.
 		    "8418650700"
-		    "00", // No tokens wanted.
+		    "00", // Zero tokens wanted.
 		    "8418650701"
-		    "02", // No such lender.
+		    "02", // An unknown lender rank.
 		    "841865071a00010000"
 		    "00", // More tokens than the field holds.
 		    "8418660700"
@@ -76,12 +76,12 @@
 		    "8418660700"
 		    "1a00010000", // A wait of more than a minute.
 		    "8418660700"
-		    "f5",         // No number.
-		    "8418660700", // Cut short.
+		    "f5",         // Not a number.
+		    "8418660700", // Truncated.
 		    "8518660700"
-		    "0000", // A field more.
+		    "0000", // One field too many.
 		};
-		for (const char* hex : absurd)
+		for (const char* hex : invalid)
 		{
 			CPPUNIT_ASSERT_MESSAGE(hex, std::holds_alternative<error>(decode(hex)));
 		}
--- a/tests/forms/store_changes_form_test.cpp
+++ b/tests/forms/store_changes_form_test.cpp
@@ -2,7 +2,7 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Changes of the store's keys as nodes of different versions tell them to each other, byte by byte.
+/// Pins the bytes of the datagrams by which nodes of different versions send changes of the store's keys.
 
 #include "fixtures.h"
 #include "forms/golden.h"
@@ -108,7 +108,7 @@
 		changes.batch.store_revision = 9;
 		const std::vector<store_changes> parts = split_for_datagrams(changes);
 		CPPUNIT_ASSERT_EQUAL(std::size_t(2), parts.size());
-		// 79 and two bytes of length stand before a long text.
+		// A long text is preceded by the byte 79 and two bytes of length.
 		CPPUNIT_ASSERT_EQUAL(
 		    "86186604f40581836162790258" + repeated("79", 600) + "058182616305", to_hex(encode(parts[0])));
 		CPPUNIT_ASSERT_EQUAL("86186605f4098183616179"
--- a/tests/forms/store_kv_form_test.cpp
+++ b/tests/forms/store_kv_form_test.cpp
@@ -2,7 +2,7 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Calls of the platform's store as larkrack-edge sends them and reads their answers, byte by byte.
+/// Pins the bytes of larkrack-edge's calls to the platform's store, and how their responses are read.
 
 #include "entry_fixture.h"
 
@@ -14,11 +14,11 @@
 {
 	CPPUNIT_TEST_SUITE(store_kv_form_test);
 	CPPUNIT_TEST(range_of_one_key_has_the_known_bytes_and_is_read);
-	CPPUNIT_TEST(range_of_a_key_that_is_not_there_is_empty);
-	CPPUNIT_TEST(range_of_a_prefix_asks_page_by_page);
-	CPPUNIT_TEST(range_old_asks_for_a_copy_and_has_the_revision_of_its_oldest_page);
+	CPPUNIT_TEST(range_of_a_missing_key_is_empty);
+	CPPUNIT_TEST(range_of_a_prefix_reads_page_by_page);
+	CPPUNIT_TEST(stale_range_reads_a_replica_and_has_the_lowest_revision_of_its_pages);
 	CPPUNIT_TEST(txn_has_the_known_bytes_and_is_read);
-	CPPUNIT_TEST(txn_refused_tells_the_keys_as_they_are);
+	CPPUNIT_TEST(txn_refused_returns_the_current_keys);
 	CPPUNIT_TEST(lease_calls_have_the_known_bytes_and_are_read);
 	CPPUNIT_TEST(lease_lapsed_keep_alive_has_no_time_left);
 	CPPUNIT_TEST(watch_has_the_known_bytes_and_is_read);
@@ -66,7 +66,7 @@
 		    });
 	}
 
-	/// @returns A request as it came, its Host header left out, which names a port of this run.
+	/// @returns A received request without its Host header, whose port differs from run to run.
 	std::string sent(std::size_t _number) const
 	{
 		std::string text = m_server->requests.at(_number);
@@ -97,7 +97,7 @@
 		CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, m_store->calls().at("u"));
 	}
 
-	void range_of_a_key_that_is_not_there_is_empty()
+	void range_of_a_missing_key_is_empty()
 	{
 		m_server->script = {answer(404, R"({"at":9})")};
 		range_reply reply;
@@ -111,7 +111,7 @@
 		CPPUNIT_ASSERT_EQUAL(std::int64_t{9}, reply.store_revision);
 	}
 
-	void range_old_asks_for_a_copy_and_has_the_revision_of_its_oldest_page()
+	void stale_range_reads_a_replica_and_has_the_lowest_revision_of_its_pages()
 	{
 		m_server->script = {
 		    answer(200, R"({"items":[{"Key":"a/1","Value":"eA==","Revision":3}],"more":true,"at":8})"),
@@ -129,7 +129,7 @@
 		CPPUNIT_ASSERT_EQUAL(std::size_t(2), reply.values.size());
 	}
 
-	void range_of_a_prefix_asks_page_by_page()
+	void range_of_a_prefix_reads_page_by_page()
 	{
 		m_server->script = {
 		    answer(200, R"({"items":[{"Key":"a/1","Value":"eA==","Revision":3}],"more":true,"at":8})"),
@@ -168,7 +168,7 @@
 		CPPUNIT_ASSERT_EQUAL(std::int64_t{12}, reply.store_revision);
 	}
 
-	void txn_refused_tells_the_keys_as_they_are()
+	void txn_refused_returns_the_current_keys()
 	{
 		m_server->script = {
 		    answer(412, R"({"Revision":12,"items":[{"Key":"a","Value":"eA==","Revision":4}]})")};
