--- a/tests/forms/daemon_node_forms.h
+++ b/tests/forms/daemon_node_forms.h
@@ -53,15 +53,15 @@
 	txn_reply txn(const char* _use, const std::vector<store_compare>& _conditions,
 	    const std::vector<store_write>& _writes, const yield_context& _yield) override
 	{
-		if (call_status::done == write_status)
+		if (call_status::done == write_call_status)
 		{
 			return store_memory::txn(_use, _conditions, _writes, _yield);
 		}
 		txn_reply reply;
-		reply.status = write_status;
+		reply.status = write_call_status;
 		return reply;
 	}
-	call_status write_status =
+	call_status write_call_status =
 	    call_status::done; ///< If not done, writes have no effect and return this status.
 };
 
--- a/tests/forms/daemon_operators_forms_test.cpp
+++ b/tests/forms/daemon_operators_forms_test.cpp
@@ -321,7 +321,7 @@
 	void change_when_response_lost_is_unsure()
 	{
 		node_under_test node;
-		node.store->write_status = call_status::unsure;
+		node.store->write_call_status = call_status::unsure;
 		assert_same_text(R"(
 504
 Content-Type: application/json
@@ -347,7 +347,7 @@
 		node_under_test node;
 		node.ask(http::verb::put, "/v1/resources/region/east", "{}");
 		node.engine = store_engine();
-		node.store->write_status = call_status::not_done;
+		node.store->write_call_status = call_status::not_done;
 		assert_same_text(R"(
 503
 Content-Type: application/json
--- a/tests/forms/limit_form_test.cpp
+++ b/tests/forms/limit_form_test.cpp
@@ -41,9 +41,9 @@
 
 	void request_has_the_known_bytes()
 	{
-		const limit_message asked{7, {2.9, k_now}, quota_request{7, 3, lender_rank::stand_in}};
+		const limit_message message{7, {2.9, k_now}, quota_request{7, 3, lender_rank::stand_in}};
 		const std::string known = "85186b0703018200190b54";
-		CPPUNIT_ASSERT_EQUAL(known, to_hex(encode(asked, k_now)));
+		CPPUNIT_ASSERT_EQUAL(known, to_hex(encode(message, k_now)));
 		const result<limit_message> decoded = decode(known);
 		const auto& request = std::get<quota_request>(std::get<limit_message>(decoded).tokens);
 		CPPUNIT_ASSERT(7 == request.customer && 3 == request.wanted);
