--- a/src/larkrackd/control_p.h
+++ b/src/larkrackd/control_p.h
@@ -75,8 +75,8 @@
 	{
 		mix_limiter limiter{0.1, std::chrono::seconds(10)};
 		steady_time started{};
-		std::vector<bool>
-		    was_open; ///< By region handle: whether the region was open once, or the grace period is over.
+		/// By region handle: whether the region was open once, or the grace period is over.
+		std::vector<bool> was_open;
 	};
 
 	void run_ticks(const yield_context& _yield);
@@ -140,8 +140,8 @@
 	std::map<std::string, service_state> m_services;
 	std::map<std::string, mix_limiter> m_driver_limiters; ///< By service, while this node drives shifts.
 	std::set<std::string> m_logged_alive;
-	std::map<std::string, int>
-	    m_draining; ///< By backend server: 1 while a drain waits for running requests, 0 after it.
+	/// By backend server: 1 while a drain waits for running requests, 0 after it.
+	std::map<std::string, int> m_draining;
 	http_caller m_caller;
 	incarnation m_incarnation;
 	steady_time m_last_tick{};
--- a/src/larkrackd/membership_p.h
+++ b/src/larkrackd/membership_p.h
@@ -121,8 +121,8 @@
 	{
 		member_entry entry;
 		steady_time heard_at{};
-		steady_time
-		    sent_at{}; ///< When the entry was last forwarded; the least recently forwarded goes first.
+		/// When the entry was last forwarded; the least recently forwarded goes first.
+		steady_time sent_at{};
 	};
 	std::vector<member_entry> select_entries(const std::string& _for_domain, steady_time _now);
 	static void append_entries(std::vector<known_member*>& _from, std::size_t _limit, steady_time _now,
--- a/src/larkrackd/ownership_p.h
+++ b/src/larkrackd/ownership_p.h
@@ -49,9 +49,9 @@
 	std::string self;          ///< Name of this entry VM.
 	incarnation life;          ///< Incarnation of this process.
 	bool self_leaving = false; ///< This entry VM is in a planned stop.
-	std::set<std::string>
-	    candidates;             ///< Entry VMs that may own: configured, alive, not drained, not leaving.
-	std::set<std::string> gone; ///< Entry VMs that are gone by the platform's list.
+	/// Entry VMs that may own: configured, alive, not drained, not leaving.
+	std::set<std::string> candidates;
+	std::set<std::string> gone;         ///< Entry VMs that are gone by the platform's list.
 	std::map<std::string, int> running; ///< Requests that this node runs at each backend server.
 	/// Maximum time for which requests of a former holder may still run: the service's run limit and the
 	/// clock skew.
--- a/src/larkrackd/policy_p.h
+++ b/src/larkrackd/policy_p.h
@@ -80,8 +80,8 @@
 struct steering_spec
 {
 	std::vector<double> shares; ///< By region handle; the sum is 1.
-	std::vector<double>
-	    demand;       ///< Fraction of callers whose home is the region, by region handle; the sum is 1.
+	/// Fraction of callers whose home is the region, by region handle; the sum is 1.
+	std::vector<double> demand;
 	double cap = 0.1; ///< Maximum share that a region may gain within a window.
 	std::chrono::microseconds window{std::chrono::seconds(10)}; ///< Length of the sliding window.
 };
