--- a/include/larkrack/config.h
+++ b/include/larkrack/config.h
@@ -2,9 +2,11 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Limits, deadlines and intervals that several modules of larkrackd share. Each says its unit and what it
-/// trades; where a measurement set it, it names it. Queue wait and heartbeat interval can be set at build
-/// time.
+/// Limits, deadlines and intervals that several modules of larkrackd share. Each constant documents its unit,
+/// its trade-off, and the measurement that it is based on, if any. Queue wait and heartbeat interval can be
+/// set at build time.
+///
+/// Owns: the values. Relies on: nothing of larkrack.
 #pragma once
 
 #include <chrono>
@@ -21,78 +23,83 @@
 
 namespace larkrack
 {
-/// Longest stay of a request in the queue of an owner before it is refused. Longer serves more in a peak, and
-/// refuses later: refusals in under 50 ms are a goal (docs/MEASUREMENTS.md, Beside the plain ways).
+/// Maximum time that a request waits in the queue of an owner before it is refused. A longer wait serves more
+/// requests in a peak and delays refusals, which should take less than 50 ms (docs/MEASUREMENTS.md, Beside
+/// the plain ways).
 constexpr std::chrono::milliseconds k_queue_wait{LARKRACK_CONFIG_QUEUE_WAIT_MS};
-/// Time between two heartbeats of an entry VM in a small fleet. Shorter finds failures sooner and costs
-/// messages (docs/CAPACITY.md).
+/// Interval between two heartbeats of an entry VM in a small fleet. A shorter interval detects failures
+/// sooner and costs messages (docs/CAPACITY.md).
 constexpr std::chrono::milliseconds k_heartbeat_interval{LARKRACK_CONFIG_HEARTBEAT_MS};
-/// Age of a backend server's load report from which the node is in mode stale_measurements. Shorter tells
-/// sooner and flaps when a probe is late. Not measured.
+/// Maximum age of a backend server's load report; with older reports the node enters the mode
+/// stale_measurements. A lower value enters the mode sooner, and flaps when a probe is late.
 constexpr std::chrono::milliseconds k_load_report_stale{16 * LARKRACK_CONFIG_HEARTBEAT_MS};
-/// Peers of its own failure domain that one heartbeat round is sent to, at most. More spreads news sooner and
-/// costs bytes (docs/CAPACITY.md).
+/// Maximum number of peers of its own failure domain to which a node sends each heartbeat. A higher value
+/// spreads updates faster and costs bytes (docs/CAPACITY.md).
 constexpr std::size_t k_heartbeat_fanout = 4;
-/// Members of each failure domain that exchange news with the other failure domains. Two, so that one may be
-/// away. Not measured.
+/// Number of nodes of each failure domain that exchange updates with other failure domains. Two, so that one
+/// may be down.
 constexpr std::size_t k_delegates = 2;
-/// Members of each failure domain that hold a watch on the store. Two, so that one may be away; each costs
-/// the calls counted in docs/CAPACITY.md.
+/// Number of nodes of each failure domain that watch the store. Two, so that one may be down; each costs the
+/// calls counted in docs/CAPACITY.md.
 constexpr std::size_t k_readers = 2;
-/// Deadline of one call to the store. Longer waits for a slow store, shorter calls it down sooner. Not
-/// measured.
+/// Deadline of one call to the store. A longer deadline tolerates a slow store; a shorter one detects an
+/// outage sooner.
 constexpr std::chrono::milliseconds k_platform_deadline{1500};
-/// First and longest limit of the pause between two tries at the store; the pause is drawn from 0 to a limit
-/// that doubles (full jitter). The peak of calls after an outage: docs/CAPACITY.md (Calls to the platform).
+/// Initial and maximum limit of the backoff between two calls to a failing store. The pause is random between
+/// 0 and a limit that doubles with each attempt (full jitter). For the peak of calls after an outage see
+/// docs/CAPACITY.md (Calls to the platform).
 constexpr std::chrono::milliseconds k_backoff_first{200};
 constexpr std::chrono::milliseconds k_backoff_last{10000};
-/// Deadline of a request when neither the caller nor the service names one. Not measured.
+/// Deadline of a request when neither the caller nor the service specifies one.
 constexpr std::chrono::milliseconds k_default_deadline{10000};
-/// Longest time a request may occupy a slot of a backend server, unless its service says otherwise. A new
-/// owner counts all slots as full for this long and k_clock_skew. Not measured.
+/// Maximum time that a request may occupy a slot of a backend server, unless its service configures another
+/// one. A new owner treats all slots as occupied for this time plus k_clock_skew.
 constexpr std::chrono::milliseconds k_default_run_limit{2000};
-/// Difference of clocks that is assumed between any two VMs. Larger keeps slots of a former owner taken
-/// for longer, smaller risks runs above the slots. Not measured.
+/// Assumed maximum difference between the wall clocks of any two VMs. A larger value keeps slots of a former
+/// owner occupied for longer; a smaller one risks more running requests than slots.
 constexpr std::chrono::milliseconds k_clock_skew{100};
-/// A gap between two ticks of the control thread from this on counts as a pause of the process: others may
-/// have taken what it owned (docs/MEASUREMENTS.md, paused_holder).
+/// Minimum gap between two ticks of the control thread that counts as a pause of the process. Other nodes may
+/// have taken over its backend servers in the meantime (docs/MEASUREMENTS.md, paused_holder).
 constexpr std::chrono::milliseconds k_pause_gap{2000};
-/// Time between two ticks of the control thread. Shorter frees slots and notices a pause sooner and costs
-/// processor time.
+/// Interval between two ticks of the control thread. A shorter interval frees slots and detects pauses
+/// sooner, and costs CPU time.
 constexpr std::chrono::milliseconds k_tick{50};
-/// Life of a grant, and so how long a key is remembered. Longer costs memory for each key (k_keys). Not
-/// measured.
+/// Lifetime of a grant, and thereby the time for which an idempotency key is remembered. A longer time costs
+/// memory for each key (k_keys).
 constexpr std::chrono::seconds k_grant_life{60};
-/// Life of a caller's copy of a look-up. Longer costs fewer look-ups and sends callers longer to an entry VM
-/// that stops. Not measured.
+/// Time for which callers may cache a look-up. A longer time saves look-ups, but callers keep using an entry
+/// VM that is stopping for longer.
 constexpr std::chrono::milliseconds k_lookup_ttl{1000};
-/// Bytes of the head and of the body of a caller's request. Not measured.
+/// Maximum size of the header and of the body of a caller's request, in bytes.
 constexpr std::uint32_t k_header_limit = 16ULL * 1024;
 constexpr std::uint64_t k_body_limit = 8ULL * 1024 * 1024;
-/// Longest time a caller may take to send a head, or to send or read on by one piece. Not measured.
+/// Timeout for a caller to send the header of a request, and for each further read from or write to the
+/// caller.
 constexpr std::chrono::seconds k_caller_timeout{20};
-/// Callers' connections that one traffic thread holds at once; each costs a coroutine's stack (k_stack). Not
-/// measured.
+/// Maximum number of open connections of callers for each traffic thread; each costs a coroutine stack
+/// (k_coroutine_stack_size).
 constexpr std::size_t k_caller_connections = 4000;
-/// Bytes of an answer that an entry VM reads ahead of a slow caller, so that the backend server's slot is
-/// free before the caller has read all (docs/MEASUREMENTS.md, drain_backend).
+/// Maximum number of bytes of a response that an entry VM reads ahead of a slow caller, so that the slot of
+/// the backend server becomes free before the caller has read everything (docs/MEASUREMENTS.md,
+/// drain_backend).
 constexpr std::size_t k_read_ahead = 8ULL * 1024 * 1024;
-/// Bytes that all answers in one traffic thread may hold in read-ahead. More frees slots for more slow
-/// callers at once and costs this memory for each thread. Not measured.
+/// Maximum number of bytes that all responses of one traffic thread hold in read-ahead buffers. A higher
+/// value frees slots for more slow callers at the same time, and costs this memory for each thread.
 constexpr std::size_t k_read_ahead_total = 96ULL * 1024 * 1024;
-/// Bytes of one piece of a streamed body. Larger costs memory for each streamed answer and saves calls. Not
-/// measured.
+/// Buffer size for streaming a body, in bytes. A larger buffer costs memory for each streamed response and
+/// saves system calls.
 constexpr std::size_t k_piece = 64ULL * 1024;
-/// Bytes of an answer to a non-repeatable request that are kept for a second try; k_keys times this is the
-/// most memory that keys can take. Not measured.
+/// Maximum size of a response to a non-repeatable request that is kept for retries by the caller, in bytes.
+/// Kept responses take at most k_keys times this memory.
 constexpr std::size_t k_kept_body = 16ULL * 1024;
-/// Keys that one entry VM remembers at the same time; further ones are refused. Not measured.
+/// Maximum number of idempotency keys that one entry VM remembers; requests with further keys are refused.
 constexpr std::size_t k_keys = 200000;
-/// Retry tokens for each first try, and how many may be saved up. More recovers more lost tries and adds more
-/// load while backend servers are slow (docs/MEASUREMENTS.md, retry_storm; other figures were not measured).
+/// Retry tokens earned by each first attempt, and maximum number of saved tokens. Higher values recover more
+/// failed attempts and add more load while backend servers are slow (docs/MEASUREMENTS.md, retry_storm, for
+/// these values only).
 constexpr double k_retry_share = 0.1;
 constexpr double k_retry_burst = 10.0;
-/// Bytes of one coroutine's stack. Less risks an overflow, more costs memory for each connection. Not
-/// measured.
-constexpr std::size_t k_stack = 128ULL * 1024;
+/// Stack size of a coroutine, in bytes. A smaller stack risks an overflow; a larger one costs memory for each
+/// connection.
+constexpr std::size_t k_coroutine_stack_size = 128ULL * 1024;
 } // namespace larkrack
--- a/include/larkrack/ids.h
+++ b/include/larkrack/ids.h
@@ -2,11 +2,12 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Strong types for ids: handles into the tables of one policy, configuration revisions, lives of a
-/// process.
+/// Strong types for identifiers: handles into the tables of a policy, configuration revisions, and
+/// incarnations of a process.
 ///
-/// For: a handle of one table can not be taken for one of another, nor a revision for a life. Handles are
-/// valid for the policy that gave them only.
+/// Handles of different tables, revisions and incarnations are distinct types, so that the compiler rejects
+/// mixing them up.
+/// Owns: no state. Relies on: handles being used only with the policy that issued them.
 #pragma once
 
 #include <cstdint>
@@ -14,10 +15,10 @@
 
 namespace larkrack
 {
-/// Value of a handle that points at nothing.
+/// Index of an invalid handle.
 constexpr std::uint16_t k_invalid_index = UINT16_MAX;
 
-/// Index into one of the tables of a policy. The tag makes handles of different tables different types.
+/// Index into one of the tables of a policy. The tag makes handles of different tables distinct types.
 template <typename Tag>
 struct handle
 {
@@ -37,7 +38,7 @@
 	}
 };
 
-/// @returns Whether the handle points at something.
+/// @returns Whether the handle refers to an entry of a table.
 template <typename Tag>
 constexpr bool is_valid(handle<Tag> _handle)
 {
@@ -51,26 +52,26 @@
 using backend_handle = handle<struct backend_tag>;
 using site_handle = handle<struct site_tag>;
 
-/// Number that only grows. The tag makes numbers of different things different types.
+/// Monotonically increasing number. The tag makes numbers for different purposes distinct types.
 template <typename Tag>
-struct growing_number
+struct monotonic_number
 {
 	std::uint64_t value = 0;
 
-	friend bool operator==(growing_number _a, growing_number _b)
+	friend bool operator==(monotonic_number _a, monotonic_number _b)
 	{
 		return _a.value == _b.value;
 	}
-	friend bool operator<(growing_number _a, growing_number _b)
+	friend bool operator<(monotonic_number _a, monotonic_number _b)
 	{
 		return _a.value < _b.value;
 	}
 };
 
 /// Revision of the configuration.
-using revision = growing_number<struct revision_tag>;
-/// Distinguishes two lives of a process on the same entry VM: start time in microseconds since 1970.
-using incarnation = growing_number<struct incarnation_tag>;
+using revision = monotonic_number<struct revision_tag>;
+/// Distinguishes two runs of the process on the same entry VM: start time in microseconds since 1970.
+using incarnation = monotonic_number<struct incarnation_tag>;
 } // namespace larkrack
 
 namespace std
--- a/src/base/clock.cpp
+++ b/src/base/clock.cpp
@@ -15,7 +15,7 @@
 steady_time clock_boottime::steady() const
 {
 	timespec now{};
-	clock_gettime(CLOCK_BOOTTIME, &now); // It fails on no kernel that this runs on.
+	clock_gettime(CLOCK_BOOTTIME, &now); // Cannot fail: every supported kernel has CLOCK_BOOTTIME.
 	return steady_time(
 	    std::chrono::seconds(now.tv_sec) +
 	    std::chrono::duration_cast<std::chrono::microseconds>(std::chrono::nanoseconds(now.tv_nsec)));
--- a/src/base/clock_p.h
+++ b/src/base/clock_p.h
@@ -2,10 +2,12 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Time, behind an interface, so that decisions can be tested on a virtual clock.
+/// Clocks behind an interface, so that tests can run time-dependent code on a virtual clock.
 ///
-/// For: steady_time for intervals, wall_time for what other VMs see. All in microseconds.
-/// Relies on: wall clocks of VMs that differ by no more than k_clock_skew.
+/// Use steady_time for intervals and wall_time for times that are sent to other VMs. All times are in
+/// microseconds.
+/// Owns: no state.
+/// Relies on: wall clocks of any two VMs that differ by no more than k_clock_skew.
 #pragma once
 
 #include "base/kernel_p.h"
@@ -14,12 +16,12 @@
 
 namespace larkrack
 {
-/// A point on a clock that never jumps back; microseconds.
+/// A time on a monotonic clock; microseconds.
 using steady_time = std::chrono::time_point<std::chrono::steady_clock, std::chrono::microseconds>;
-/// A point on the wall clock; microseconds since 1970.
+/// A time on the wall clock; microseconds since 1970.
 using wall_time = std::chrono::time_point<std::chrono::system_clock, std::chrono::microseconds>;
 
-/// Source of time.
+/// Interface of a clock.
 class clock_base : public service_base
 {
 public:
@@ -27,9 +29,9 @@
 	{
 		return "clock";
 	}
-	/// @returns Time for intervals.
+	/// @returns Monotonic time, for measuring intervals on this VM.
 	virtual steady_time steady() const = 0;
-	/// @returns Time that can be compared between VMs, within the assumed skew.
+	/// @returns Wall time, comparable between VMs within k_clock_skew.
 	virtual wall_time wall() const = 0;
 };
 
@@ -41,28 +43,29 @@
 	wall_time wall() const override;
 };
 
-/// The clock of the operating system that counts the time for which the VM is suspended. Timers do not: after
-/// a suspension they fire late by it, so what is due by this clock is looked at before anything is sent.
+/// System clock that includes the time for which the VM is suspended (CLOCK_BOOTTIME). Timers exclude that
+/// time and fire late after a suspension, so callers compare their deadlines with this clock before they send
+/// anything.
 class clock_boottime : public clock_system
 {
 public:
 	steady_time steady() const override;
 };
 
-/// @returns Microseconds since the clock's start.
+/// @returns Microseconds since the epoch of the clock.
 template <typename Time>
 std::int64_t to_us(Time _time)
 {
 	return _time.time_since_epoch().count();
 }
 
-/// @returns Whole milliseconds of an interval.
+/// @returns An interval in whole milliseconds, rounded toward zero.
 inline std::chrono::milliseconds to_ms(steady_time::duration _interval)
 {
 	return std::chrono::duration_cast<std::chrono::milliseconds>(_interval);
 }
 
-/// @returns Seconds of an interval.
+/// @returns An interval in seconds.
 inline double to_s(steady_time::duration _interval)
 {
 	return std::chrono::duration<double>(_interval).count();
--- a/src/base/events_p.h
+++ b/src/base/events_p.h
@@ -2,11 +2,12 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Catalogue of log events of both programs. docs/EVENTS.md holds the same table for people; a test
-/// compares both.
+/// Catalogue of the log events of larkrackd and larkrack-edge. docs/EVENTS.md documents the same table; a
+/// test compares the two.
 ///
-/// Owns: numbers, names and severities. A number is never given to another event, since alerts are built on
-/// it.
+/// Owns: numbers, names and severities. The number of an event is never reused, since operators' alerts match
+/// on numbers.
+/// Relies on: nothing of larkrack.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -15,7 +16,7 @@
 
 namespace larkrack
 {
-/// Weight of an event.
+/// Severity of an event.
 enum class severity
 {
 	info,
@@ -23,7 +24,7 @@
 	error,
 };
 
-// Columns: number, name, severity, text. Numbers are never given to another event.
+// Columns: number, name, severity, text. Numbers are never reused.
 #define LARKRACK_EVENTS(X)                                                                                   \
 	X(1001, node_started, info, "The process serves.")                                                       \
 	X(1002, node_stopping, info, "A planned stop began.")                                                    \
@@ -82,7 +83,7 @@
 	X(1919, backend_resting, info, "A backend server wants no requests from this node for some time.")       \
 	X(1920, backend_leaving, info, "A backend server said beside an answer that it leaves.")
 
-/// Numbered log event.
+/// Log event; the value is its number in the catalogue.
 enum class event : std::uint16_t
 {
 #define LARKRACK_EVENT_ENUM(_number, _name, _severity, _text) _name = (_number),
--- a/src/base/http_client.cpp
+++ b/src/base/http_client.cpp
@@ -9,13 +9,14 @@
 {
 namespace
 {
-/// Idle connections that are kept for each server. More saves connecting after a peak and costs descriptors.
-/// Not measured.
+/// Maximum number of idle connections for each server. A higher value saves connecting after a traffic peak
+/// and costs file descriptors.
 constexpr std::size_t k_idle_per_endpoint = 64;
-/// Longest idle time of a connection for control traffic. Longer meets more connections that the server is
-/// about to close. Not measured.
-constexpr std::chrono::seconds k_control_idle{4};
+/// Maximum idle time of a reused control connection. A longer time makes it more likely to reuse a connection
+/// that the server is about to close.
+constexpr std::chrono::seconds k_max_control_idle{4};
 
+/// @returns The value of a hexadecimal digit, or -1.
 int hex_value(char _digit)
 {
 	if ('0' <= _digit && _digit <= '9')
@@ -26,7 +27,8 @@
 	return 'a' <= lower && lower <= 'f' ? lower - 'a' + 10 : -1;
 }
 
-std::string decode(const std::string& _text)
+/// Decodes percent-encoding.
+std::string percent_decode(const std::string& _text)
 {
 	std::string out;
 	for (std::size_t at = 0; at < _text.size(); ++at)
@@ -64,7 +66,7 @@
 void connection_pool::give(const endpoint& _endpoint, connection_ptr _connection)
 {
 	std::vector<connection_ptr>& idle = m_idle[to_string(_endpoint)];
-	// Bytes that nobody asked for would be taken for the next answer.
+	// Unread bytes would be parsed as the start of the next response.
 	if (k_idle_per_endpoint <= idle.size() || 0 < _connection->buffer.size())
 	{
 		return;
@@ -84,10 +86,11 @@
 	connection->stream.async_connect(where, _yield[failure]);
 	if (failure)
 	{
-		// Not logged here: carriers and probes connect all the time, and log when they judge the server.
+		// Not logged here: request forwarding and probes connect all the time, and log when they change the
+		// state of the server.
 		return nullptr;
 	}
-	// Without the option exchanges are slower, and correct all the same.
+	// An error is ignored: without TCP_NODELAY requests are slower, but still correct.
 	connection->stream.socket().set_option(tcp::no_delay(true), failure);
 	return connection;
 }
@@ -95,7 +98,7 @@
 result<http_response> http_caller::call(const endpoint& _endpoint, const http_request& _request,
     std::chrono::milliseconds _timeout, const yield_context& _yield)
 {
-	connection_ptr connection = m_pool.take(_endpoint, k_control_idle);
+	connection_ptr connection = m_pool.take(_endpoint, k_max_control_idle);
 	if (!connection)
 	{
 		connection = m_pool.connect(_endpoint, _timeout, _yield);
@@ -162,7 +165,7 @@
 		const std::size_t equals = pair.find('=');
 		if (std::string::npos != equals && pair.substr(0, equals) == _name)
 		{
-			return decode(pair.substr(equals + 1));
+			return percent_decode(pair.substr(equals + 1));
 		}
 		at = end + 1;
 	}
--- a/src/base/http_p.h
+++ b/src/base/http_p.h
@@ -4,14 +4,13 @@
 /// @file
 /// HTTP/1.1 through Boost.Beast: a server whose handlers are coroutines, and a pooling client.
 ///
-/// For: larkrackd and the tools. Each step of a request is a line of a coroutine. http_listener of
-/// larkrack-edge is its counterpart by callbacks: it has no coroutine's stack for each connection
-/// (k_stack), since memory has a price there (docs/PLATFORM.md), and it streams no answers.
-/// Decides: what is a bad request (answered with a 4xx and `not_run`), and when a connection may be used
-/// again.
-/// Owns: sessions of callers, and idle connections to servers, each of one thread.
-/// Relies on: one thread for each I/O context, so no strand is needed.
-/// Units: limits in bytes and times from larkrack/config.h.
+/// Used by larkrackd and the tools, which write each request as a sequential coroutine. larkrack-edge has
+/// http_listener instead, which uses callbacks: a coroutine stack for each connection
+/// (k_coroutine_stack_size) would cost memory, which is priced there (docs/PLATFORM.md). http_listener does
+/// not stream responses. Decides: which requests are invalid (they get a 4xx response and outcome `not_run`),
+/// and when a connection may be reused. Owns: the sessions of callers, and idle connections to servers; each
+/// belongs to one thread. Relies on: one thread for each I/O context, so no strand is needed; limits (bytes)
+/// and timeouts from larkrack/config.h.
 #pragma once
 
 #include "base/clock_p.h"
@@ -37,13 +36,14 @@
 namespace http = boost::beast::http;
 using tcp = asio::ip::tcp;
 using yield_context = asio::yield_context;
-/// Limit of a body that may have any length. The library takes "no limit" for zero when a length is stated.
+/// Body limit for responses of any length. Boost.Beast treats its own "no limit" value as zero when a message
+/// states a Content-Length.
 constexpr std::uint64_t k_any_length = INT64_MAX;
 
 using http_request = http::request<http::string_body>;
 using http_response = http::response<http::string_body>;
 
-/// @returns A header of the request, or an empty text.
+/// @returns The value of a header, or an empty string when the message has no such header.
 template <typename Message>
 std::string header_of(const Message& _message, const char* _name)
 {
@@ -51,7 +51,8 @@
 	return _message.end() == it ? std::string() : std::string(it->value());
 }
 
-/// Starts a coroutine with our stack size. Exceptions in it are broken invariants.
+/// Starts a coroutine with a stack of k_coroutine_stack_size bytes. An exception that leaves the coroutine is
+/// a broken invariant and propagates to the thread that runs the I/O context.
 /// @remarks Each context has one thread, so no strand is needed.
 template <typename Function>
 void start(const asio::any_io_executor& _executor, Function&& _function)
@@ -60,7 +61,7 @@
 	{
 	};
 	asio::spawn(asio::bind_executor(_executor, k_no_completion), std::forward<Function>(_function),
-	    boost::coroutines::attributes(k_stack));
+	    boost::coroutines::attributes(k_coroutine_stack_size));
 }
 
 template <typename Function>
@@ -69,101 +70,107 @@
 	start(asio::any_io_executor(_context.get_executor()), std::forward<Function>(_function));
 }
 
-/// Suspends a coroutine.
+/// Suspends the calling coroutine for an interval.
 void sleep_for(
     const asio::any_io_executor& _executor, std::chrono::microseconds _time, const yield_context& _yield);
 
-/// Connection from a caller.
+/// Server side of one connection from a caller.
 class http_session
 {
 public:
-	http_session(tcp::socket _socket, bool _secure_head);
+	/// @param[in] _check_headers Whether requests with ambiguous or missing headers are rejected.
+	http_session(tcp::socket _socket, bool _check_headers);
 
-	/// @returns The stream, for waiting on it.
+	/// @returns The underlying stream, for waiting until it is readable.
 	beast::tcp_stream& stream()
 	{
 		return m_stream;
 	}
-	/// @returns Address of the other side.
+	/// @returns Address and port of the caller's side of the connection.
 	const tcp::endpoint& peer() const
 	{
 		return m_peer;
 	}
-	/// Reads the next request. Answers bad input with a 4xx by itself.
-	/// @returns False when the connection has ended.
+	/// Reads the next request. Responds to an invalid request with a 4xx status and closes the connection.
+	/// @returns False when the connection was closed and there is no request to handle.
 	bool read(http_request& _request, const yield_context& _yield);
-	/// Sends a whole answer. Sets Content-Length.
-	/// @returns False when it could not be sent whole.
+	/// Sends a complete response and sets its Content-Length.
+	/// @returns False when the response could not be sent completely.
 	bool send(http_response& _response, const yield_context& _yield);
-	/// Sends an answer to HEAD: its Content-Length stays as it is.
+	/// Sends the response to a HEAD request: headers only, with Content-Length as the caller of this method
+	/// set it.
 	bool send_head_only(http_response& _response, const yield_context& _yield);
-	/// Sends the head of a streamed answer: with Content-Length if it is set, else chunked.
+	/// Sends the headers of a streamed response, which uses chunked encoding unless Content-Length is set.
+	/// @param[in] _head Must stay valid until send_end().
 	bool send_head(http::response<http::buffer_body>& _head, const yield_context& _yield);
-	/// Sends a piece of a streamed answer.
+	/// Sends a part of the body of a streamed response.
 	bool send_piece(const char* _data, std::size_t _size, const yield_context& _yield);
-	/// Ends a streamed answer.
+	/// Completes a streamed response.
 	bool send_end(const yield_context& _yield);
-	/// @returns Whether the other side has closed; its data, if any, stays unread.
+	/// @returns Whether the caller has closed the connection. Data that the caller has sent stays unread.
 	bool is_gone();
-	/// Closes at once.
+	/// Closes the connection immediately.
 	void close();
-	/// The next answer is the last one on this connection.
-	void set_last()
+	/// Makes the next response the last one on this connection (`Connection: close`).
+	void close_after_response()
 	{
 		m_keep_alive = false;
 	}
-	/// @returns Number of requests that were read.
+	/// @returns Number of requests that were read on this connection.
 	std::size_t requests() const
 	{
 		return m_requests;
 	}
-	/// @returns Whether another request may follow.
+	/// @returns Whether another request may follow on this connection.
 	bool keep_alive() const
 	{
 		return m_keep_alive;
 	}
 
 private:
-	bool refuse(http::status _status, const std::string& _why, const yield_context& _yield);
-	std::string fault_of(const http_request& _request) const;
+	/// Responds with a 4xx status and outcome `not_run`, and closes the connection.
+	/// @returns False, for read() to return.
+	bool reject(http::status _status, const std::string& _why, const yield_context& _yield);
+	/// @returns What is wrong with the version or headers of a request; empty when they are valid.
+	std::string find_header_error(const http_request& _request) const;
 
 	beast::tcp_stream m_stream;
 	beast::flat_buffer m_buffer;
 	tcp::endpoint m_peer;
 	bool m_keep_alive = true;
-	bool m_check_head = true;
+	bool m_check_headers = true;
 	std::size_t m_requests = 0;
 	http::response<http::buffer_body>* m_head = nullptr;
 	std::unique_ptr<http::response_serializer<http::buffer_body>> m_serializer;
 };
 
-/// Handles one request. Must send exactly one answer, or close the session.
+/// Handles one request. Must send exactly one response, or close the session.
 using http_handler = std::function<void(http_session&, http_request&, const yield_context&)>;
 
-/// Listens and runs a coroutine for each connection.
+/// Accepts connections and runs a coroutine for each one.
 class http_server
 {
 public:
-	/// @param[in] _limit Connections at once; more are closed at once.
+	/// @param[in] _limit Maximum number of open connections; further ones are closed immediately.
 	http_server(asio::io_context& _context, http_handler _handler, std::size_t _limit = k_caller_connections);
 	~http_server();
 	http_server(const http_server&) = delete;
 	http_server& operator=(const http_server&) = delete;
 
-	/// Listens.
-	/// @param[in] _shared Whether several listeners of this process share the port.
-	/// @returns An error when the address can not be had.
+	/// Starts to accept connections.
+	/// @param[in] _shared Whether several listeners of this process share the port (SO_REUSEPORT).
+	/// @returns An error when the address cannot be bound.
 	std::optional<error> listen(const endpoint& _endpoint, bool _shared = false);
-	/// @returns The port in use; of interest when 0 was asked for.
+	/// @returns The port that the server listens on, which the kernel chose if listen() was given port 0.
 	std::uint16_t port() const;
-	/// From now on each answer asks its caller to open no further request on the connection.
+	/// Makes every further response close its connection (`Connection: close`).
 	void begin_stop()
 	{
-		*m_last_answers = true;
+		*m_close_after_response = true;
 	}
-	/// Stops accepting; connections live on until their answer is sent.
+	/// Stops accepting connections. Open connections stay until their current response is sent.
 	void stop_accepting();
-	/// Closes all connections.
+	/// Stops accepting and closes all connections immediately.
 	void close_all();
 	/// @returns Number of open connections.
 	std::size_t connections() const
@@ -181,10 +188,10 @@
 	std::size_t m_limit;
 	std::shared_ptr<session_map> m_sessions;
 	std::shared_ptr<bool> m_stopping;
-	std::shared_ptr<bool> m_last_answers = std::make_shared<bool>(false);
+	std::shared_ptr<bool> m_close_after_response = std::make_shared<bool>(false);
 };
 
-/// Connection to a server, usable for one exchange at a time.
+/// Client side of a connection; carries one request at a time.
 struct client_connection
 {
 	explicit client_connection(const asio::any_io_executor& _executor) : stream(_executor)
@@ -196,20 +203,21 @@
 };
 using connection_ptr = std::unique_ptr<client_connection>;
 
-/// Idle connections of one thread. Not thread-safe.
+/// Idle connections of one thread, by server. Not thread-safe.
 class connection_pool
 {
 public:
 	explicit connection_pool(asio::any_io_executor _executor) : m_executor(std::move(_executor))
 	{
 	}
-	/// @param[in] _max_idle Idle connections that are older are closed instead.
-	/// @returns An idle connection that the other side has not closed, or null.
+	/// Removes a connection from the pool.
+	/// @param[in] _max_idle Maximum idle time; connections that were idle for longer are closed.
+	/// @returns An idle connection that the server has not closed, or null.
 	connection_ptr take(const endpoint& _endpoint, std::chrono::milliseconds _max_idle);
-	/// Keeps a connection whose last exchange ended cleanly.
+	/// Returns a connection to the pool. Its last response must have been read completely.
 	void give(const endpoint& _endpoint, connection_ptr _connection);
 	/// Opens a new connection.
-	/// @returns Null when it could not be had in time.
+	/// @returns The connection, or null when connecting failed or timed out.
 	connection_ptr connect(
 	    const endpoint& _endpoint, std::chrono::milliseconds _timeout, const yield_context& _yield);
 
@@ -218,14 +226,16 @@
 	std::unordered_map<std::string, std::vector<connection_ptr>> m_idle;
 };
 
-/// Makes whole exchanges, for control traffic and tools. One thread.
+/// HTTP client for control traffic and tools: sends a request and reads the complete response. Not
+/// thread-safe.
 class http_caller
 {
 public:
 	explicit http_caller(const asio::any_io_executor& _executor) : m_pool(_executor)
 	{
 	}
-	/// @returns The answer; or error "refused" when nothing was sent; or "unsure".
+	/// @returns The response; error "refused" when nothing was sent; error "unsure" when the request was
+	/// sent, at least in part, and no complete response arrived.
 	result<http_response> call(const endpoint& _endpoint, const http_request& _request,
 	    std::chrono::milliseconds _timeout, const yield_context& _yield);
 
@@ -236,12 +246,13 @@
 /// @returns A request with method, target and Host set.
 http_request make_request(
     http::verb _verb, const std::string& _target, const endpoint& _endpoint, const std::string& _body = "");
-/// @returns A JSON answer.
+/// @returns A response with a JSON body.
 http_response make_json(http::status _status, const std::string& _body);
-/// @returns Value of a parameter of the target's query, decoded, or an empty text.
+/// @returns The percent-decoded value of a query parameter of a request target, or an empty string.
 std::string query_value(const std::string& _target, const std::string& _name);
-/// @returns The target without its query.
+/// @returns A request target without its query.
 std::string path_of(const std::string& _target);
-/// @returns True when the socket shows the end of the stream, or an error, without waiting.
+/// Checks a socket without blocking.
+/// @returns True when the peer has closed the stream or the socket has an error.
 bool is_closed_by_peer(tcp::socket& _socket);
 } // namespace larkrack
--- a/src/base/http_server.cpp
+++ b/src/base/http_server.cpp
@@ -9,16 +9,17 @@
 {
 namespace
 {
-/// Connections that wait to be accepted. The kernel's own limit may be lower. Not measured.
-constexpr int k_backlog = 1024;
+/// Maximum number of connections that wait to be accepted. The kernel's own limit may be lower.
+constexpr int k_accept_backlog = 1024;
 using reuse_port = asio::detail::socket_option::boolean<SOL_SOCKET, SO_REUSEPORT>;
 
-std::size_t count_of(const http_request& _request, http::field _field)
+std::size_t field_count(const http_request& _request, http::field _field)
 {
 	const auto range = _request.equal_range(_field);
 	return static_cast<std::size_t>(std::distance(range.first, range.second));
 }
 
+/// @returns The status for a request that could not be parsed.
 http::status status_of(const beast::error_code& _failure)
 {
 	if (http::error::header_limit == _failure)
@@ -36,7 +37,8 @@
 	return http::status::bad_request;
 }
 
-bool is_end(const beast::error_code& _failure)
+/// @returns Whether the error means that the connection ended, and not that the request is invalid.
+bool is_disconnect(const beast::error_code& _failure)
 {
 	return http::error::end_of_stream == _failure || asio::error::connection_reset == _failure ||
 	       asio::error::operation_aborted == _failure || asio::error::eof == _failure;
@@ -47,7 +49,7 @@
     const asio::any_io_executor& _executor, std::chrono::microseconds _time, const yield_context& _yield)
 {
 	asio::steady_timer timer(_executor, _time);
-	// The timer is cancelled only with its context, which then runs no more coroutines.
+	// The wait can fail only when the I/O context is destroyed, which then runs no more coroutines.
 	boost::system::error_code ignored;
 	timer.async_wait(_yield[ignored]);
 }
@@ -63,18 +65,18 @@
 	return 0 == size || (size < 0 && EAGAIN != errno && EWOULDBLOCK != errno);
 }
 
-http_session::http_session(tcp::socket _socket, bool _secure_head)
-    : m_stream(std::move(_socket)), m_check_head(_secure_head)
+http_session::http_session(tcp::socket _socket, bool _check_headers)
+    : m_stream(std::move(_socket)), m_check_headers(_check_headers)
 {
-	// Both fail when the other side has left already; the first read then ends the session.
+	// Both calls fail if the peer has already disconnected; the first read then ends the session.
 	boost::system::error_code ignored;
 	m_peer = m_stream.socket().remote_endpoint(ignored);
 	m_stream.socket().set_option(tcp::no_delay(true), ignored);
 }
 
-std::string http_session::fault_of(const http_request& _request) const
+std::string http_session::find_header_error(const http_request& _request) const
 {
-	if (!m_check_head)
+	if (!m_check_headers)
 	{
 		return "";
 	}
@@ -82,17 +84,17 @@
 	{
 		return "the version of HTTP is not 1.0 or 1.1";
 	}
-	if (1 < count_of(_request, http::field::host))
+	if (1 < field_count(_request, http::field::host))
 	{
 		return "several Host headers";
 	}
-	if (11 == _request.version() && 0 == count_of(_request, http::field::host))
+	if (11 == _request.version() && 0 == field_count(_request, http::field::host))
 	{
 		return "no Host header";
 	}
-	if (1 < count_of(_request, http::field::content_length) ||
-	    (0 < count_of(_request, http::field::content_length) &&
-	        0 < count_of(_request, http::field::transfer_encoding)))
+	if (1 < field_count(_request, http::field::content_length) ||
+	    (0 < field_count(_request, http::field::content_length) &&
+	        0 < field_count(_request, http::field::transfer_encoding)))
 	{
 		return "more than one length of the body";
 	}
@@ -118,36 +120,37 @@
 	}
 	if (failure)
 	{
-		// Callers leave idle connections all the time; a request that did not arrive whole was not run.
-		const bool nothing_came = !parser.got_some();
-		if (is_end(failure) || (beast::error::timeout == failure && nothing_came))
+		// Callers close idle connections all the time. A request that did not arrive completely was not run.
+		const bool is_idle = !parser.got_some();
+		if (is_disconnect(failure) || (beast::error::timeout == failure && is_idle))
 		{
 			close();
 			return false;
 		}
-		// After a time-out the stream is closed, and no answer can be sent.
+		// A timeout has closed the stream, so no response can be sent.
 		return beast::error::timeout == failure ? false
-		                                        : refuse(status_of(failure), failure.message(), _yield);
+		                                        : reject(status_of(failure), failure.message(), _yield);
 	}
 	_request = parser.release();
 	++m_requests;
 	m_keep_alive = _request.keep_alive();
-	const std::string fault = fault_of(_request);
-	if (!fault.empty())
+	const std::string header_error = find_header_error(_request);
+	if (!header_error.empty())
 	{
-		return refuse(http::status::bad_request, fault, _yield);
+		return reject(http::status::bad_request, header_error, _yield);
 	}
 	return true;
 }
 
-bool http_session::refuse(http::status _status, const std::string& _why, const yield_context& _yield)
+bool http_session::reject(http::status _status, const std::string& _why, const yield_context& _yield)
 {
 	m_keep_alive = false;
 	const nlohmann::json body = {{"outcome", "not_run"}, {"reason", "bad_request"}, {"message", _why}};
 	http_response response = make_json(_status, body.dump());
 	response.set(k_header_outcome, to_string(outcome::not_run));
 	response.set(k_header_reason, to_string(reason::bad_request));
-	// Whether the caller still reads it or not, the connection ends here and nothing was run.
+	// The result is ignored: whether or not the caller reads the response, the connection is closed and
+	// nothing was run.
 	send(response, _yield);
 	close();
 	return false;
@@ -233,7 +236,7 @@
 void http_session::close()
 {
 	m_keep_alive = false;
-	// Fails when the other side has closed, which is what is wanted.
+	// Fails when the peer has already closed the connection; the socket is closed in either case.
 	boost::system::error_code ignored;
 	m_stream.socket().shutdown(tcp::socket::shutdown_both, ignored);
 	m_stream.close();
@@ -261,12 +264,12 @@
 	{
 		m_acceptor.set_option(reuse_port(true), failure);
 	}
-	// An error above makes bind fail, or is one of an option without which bind tells that the port is in
-	// use.
+	// Errors of the calls above are overwritten: if open() failed, bind() fails too; if an option could not
+	// be set, bind() reports that the port is in use.
 	m_acceptor.bind(where, failure);
 	if (!failure)
 	{
-		m_acceptor.listen(k_backlog, failure);
+		m_acceptor.listen(k_accept_backlog, failure);
 	}
 	if (failure)
 	{
@@ -278,7 +281,7 @@
 
 std::uint16_t http_server::port() const
 {
-	// Fails when the server does not listen; the port is 0 then.
+	// Fails when the server is not listening; the port is then 0.
 	boost::system::error_code ignored;
 	return m_acceptor.local_endpoint(ignored).port();
 }
@@ -292,23 +295,23 @@
 		    {
 			    return;
 		    }
-		    // A failed accept (the caller left, descriptors ran out) and a connection above the limit are not
-		    // logged, since in a flood there would be a line for each. Nothing was read, so the caller may go
-		    // elsewhere.
+		    // A failed accept (the caller disconnected, or file descriptors ran out) and a connection above
+		    // the limit are not logged, since a flood of connections would flood the log. No request was
+		    // read, so the caller may safely try another entry VM.
 		    if (!_failure && m_sessions->size() < m_limit)
 		    {
 			    auto session = std::make_shared<http_session>(std::move(_socket), true);
 			    m_sessions->emplace(session.get(), session);
 			    start(m_context,
-			        [session, handler = m_handler, sessions = m_sessions, last = m_last_answers](
-			            const yield_context& _yield)
+			        [session, handler = m_handler, sessions = m_sessions,
+			            close_after = m_close_after_response](const yield_context& _yield)
 			        {
 				        http_request request;
 				        while (session->keep_alive() && session->read(request, _yield))
 				        {
-					        if (*last)
+					        if (*close_after)
 					        {
-						        session->set_last();
+						        session->close_after_response();
 					        }
 					        (*handler)(*session, request, _yield);
 				        }
@@ -323,8 +326,8 @@
 void http_server::stop_accepting()
 {
 	*m_stopping = true;
-	*m_last_answers = true;
-	// The descriptor is gone either way.
+	*m_close_after_response = true;
+	// An error is ignored: the descriptor is released in either case.
 	boost::system::error_code ignored;
 	m_acceptor.close(ignored);
 }
--- a/src/base/kernel_p.h
+++ b/src/base/kernel_p.h
@@ -2,12 +2,12 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Micro-kernel: services that find each other by name, started in order and stopped in reverse order.
+/// Service registry: starts the services of a program in order, stops them in reverse order, and lets them
+/// find each other by name.
 ///
-/// For: a program is a list of services (node, fixtures of tests), and each part can be replaced by a
-/// stand-in of the same name.
-/// Owns: all services of a program, until its end.
-/// Relies on: the order of adding: a service finds in init only what was added before it.
+/// A program (larkrackd, or a test fixture) is a list of services; tests replace a service by a fake of the
+/// same name. Owns: all services of a program, until the program ends. Relies on: the order in which services
+/// are added: service_base::init() may only use services that were added earlier.
 #pragma once
 
 #include "larkrack/outcome.h"
@@ -22,7 +22,7 @@
 {
 class kernel;
 
-/// Part of a program that others find by its name.
+/// Interface of a service.
 class service_base
 {
 public:
@@ -31,11 +31,11 @@
 	service_base& operator=(const service_base&) = delete;
 	virtual ~service_base() = default;
 
-	/// @returns Name under which others find the service.
+	/// @returns Name under which kernel::find() returns the service.
 	virtual const char* name() const = 0;
-	/// Starts the service. Services that were added earlier are running.
-	/// @param[in] _kernel Where to find others.
-	/// @returns An error when the program can not go on without it.
+	/// Starts the service. Services that were added earlier are already running.
+	/// @param[in] _kernel Registry to find other services in.
+	/// @returns An error when the program cannot start because of this service.
 	virtual std::optional<error> init(kernel& _kernel)
 	{
 		(void)_kernel;
@@ -47,19 +47,20 @@
 	}
 };
 
-/// Owner of all services of a program.
+/// Registry that owns all services of a program.
 class kernel
 {
 public:
-	/// Adds a service; a service of the same name that was added before is replaced in its place.
+	/// Adds a service. An earlier service of the same name is replaced and the new one takes its position in
+	/// the order.
 	void add(std::unique_ptr<service_base> _service);
-	/// Starts all services in the order of their adding.
-	/// @returns The error of the first that failed; those before it have been stopped again.
+	/// Starts all services in the order in which they were added.
+	/// @returns The error of the first service that failed; the services started before it have been stopped.
 	std::optional<error> init();
 	/// Stops all running services in reverse order.
 	void shutdown();
 
-	/// @returns The service of that name and type, or null.
+	/// @returns The service with this name and type, or null.
 	template <typename T>
 	T* find(const std::string& _name) const
 	{
--- a/src/base/metrics_p.h
+++ b/src/base/metrics_p.h
@@ -2,11 +2,11 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Metrics of larkrackd by prometheus-cpp, with a small, fixed set of labels.
+/// Prometheus metrics of larkrackd (prometheus-cpp), with a small, fixed set of labels.
 ///
-/// Owns: the registry and all counters since the start of the process.
-/// Relies on: operators, which serves text() and sets gauges at each scrape. Label values are services,
-/// outcomes, reasons and uses of the store, so their number is bounded.
+/// Owns: the metrics registry and all counters since the process started.
+/// Relies on: the service `operators`, which serves text() and sets the gauges at each scrape. Label values
+/// are services, outcomes, reasons and purposes of store calls, so the number of time series is bounded.
 #pragma once
 
 #include "base/kernel_p.h"
@@ -25,7 +25,7 @@
 
 namespace larkrack
 {
-/// All metrics of a node. Counters may be used from every thread.
+/// All metrics of a node. Counters are thread-safe.
 class metrics : public service_base
 {
 public:
@@ -34,27 +34,27 @@
 	{
 		return "metrics";
 	}
-	/// @returns Text for a scrape.
+	/// @returns All metrics in the Prometheus text format.
 	std::string text() const;
 
-	/// Counts an outcome.
+	/// Counts a completed request by service, outcome and reason.
 	void count_outcome(const std::string& _service, outcome _outcome, reason _reason);
 	/// Counts a look-up.
 	void count_lookup()
 	{
 		m_lookups->Increment();
 	}
-	/// Counts a request that went on to another entry VM.
+	/// Counts a request that was relayed to another entry VM.
 	void count_relay()
 	{
 		m_relays->Increment();
 	}
-	/// Counts a retry.
+	/// Counts a retry by this entry VM.
 	void count_retry()
 	{
 		m_retries->Increment();
 	}
-	/// Takes the time from taking a request to its answer's end.
+	/// Records the time from receiving a request to the end of its response, in seconds.
 	void observe_seconds(double _seconds)
 	{
 		m_seconds->Observe(_seconds);
@@ -67,12 +67,12 @@
 
 private:
 	std::shared_ptr<prometheus::Registry> m_registry;
-	static constexpr std::size_t k_outcomes = 3; ///< Values of enum outcome.
-	static constexpr std::size_t k_reasons = 20; ///< Values of enum reason, with room for more.
+	static constexpr std::size_t k_outcomes = 3; ///< Number of values of enum outcome.
+	static constexpr std::size_t k_reasons = 20; ///< Reserved number of values of enum reason.
 	using outcome_counters = std::array<std::atomic<prometheus::Counter*>, k_outcomes * k_reasons>;
 
 	prometheus::Family<prometheus::Counter>* m_outcomes = nullptr;
-	/// Counters of each service that was asked for, so that the labels are put together once.
+	/// Cached counters by service, so that labels are built only once. Guarded by m_mutex.
 	std::map<std::string, std::unique_ptr<outcome_counters>> m_counters;
 	std::shared_mutex m_mutex;
 	prometheus::Counter* m_lookups = nullptr;
--- a/src/base/precompiled.h
+++ b/src/base/precompiled.h
@@ -2,7 +2,7 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Heavy library headers, compiled once.
+/// Precompiled header: library headers that are expensive to parse.
 #pragma once
 
 #include <boost/asio.hpp>
--- a/src/base/schema.cpp
+++ b/src/base/schema.cpp
@@ -15,10 +15,10 @@
 {
 namespace
 {
-/// Characters of a wrong value that a mistake shows.
-constexpr std::size_t k_value_shown = 60;
+/// Maximum length of a value in a mistake; longer values are truncated.
+constexpr std::size_t k_max_shown_value = 60;
 
-/// Turns "<root>[a][b]" into "/a/b".
+/// Converts a path of valijson to a JSON pointer: "<root>[a][b]" to "/a/b".
 std::string pointer_of(const std::string& _context)
 {
 	std::string path;
@@ -32,14 +32,15 @@
 	return path;
 }
 
-/// The library reports a mistake at each level above it; only the deepest is of use.
-bool is_echo(const mistake& _mistake)
+/// valijson reports an error again for each enclosing object; only the innermost report is useful.
+/// @returns Whether a mistake is such a repetition for an enclosing object.
+bool is_enclosing_error(const mistake& _mistake)
 {
-	constexpr const char* k_echoes[] = {"Failed to validate against schema associated with",
+	constexpr const char* k_descriptions[] = {"Failed to validate against schema associated with",
 	    "Failed to validate against additional properties schema"};
-	for (const char* echo : k_echoes)
+	for (const char* description : k_descriptions)
 	{
-		if (std::string::npos != _mistake.allowed.find(echo))
+		if (std::string::npos != _mistake.allowed.find(description))
 		{
 			return true;
 		}
@@ -56,9 +57,9 @@
 		return "(missing)";
 	}
 	std::string text = _document.at(pointer).dump();
-	if (k_value_shown < text.size())
+	if (k_max_shown_value < text.size())
 	{
-		text = text.substr(0, k_value_shown) + "...";
+		text = text.substr(0, k_max_shown_value) + "...";
 	}
 	return text;
 }
@@ -70,7 +71,7 @@
 	parser.populateSchema(valijson::adapters::NlohmannJsonAdapter(_schema), schema);
 	valijson::Validator validator;
 	valijson::ValidationResults results;
-	// Its result only says whether the list of errors is empty.
+	// The returned bool is redundant: it only tells whether `results` is empty.
 	validator.validate(schema, valijson::adapters::NlohmannJsonAdapter(_document), &results);
 
 	std::vector<mistake> mistakes;
@@ -86,7 +87,7 @@
 		one.path = pointer_of(context);
 		one.value = value_at(_document, one.path);
 		one.allowed = found.description;
-		if (!is_echo(one))
+		if (!is_enclosing_error(one))
 		{
 			mistakes.push_back(one);
 		}
--- a/src/base/schema_tables.cpp
+++ b/src/base/schema_tables.cpp
@@ -1,6 +1,9 @@
 // Copyright 2026 the larkrack developers. All rights reserved.
 // License: BSD 2-Clause, see LICENSE.
 
+/// @file
+/// JSON schemas of larkrackd's settings and of all resource kinds.
+
 #include "base/schema_p.h"
 
 #include <map>
--- a/src/base/settings.cpp
+++ b/src/base/settings.cpp
@@ -13,6 +13,7 @@
 {
 constexpr int k_port_max = 65535;
 
+/// Parses the address at a JSON pointer, and adds a mistake when the address is invalid.
 endpoint endpoint_at(
     const nlohmann::json& _document, const std::string& _path, std::vector<mistake>& _mistakes)
 {
@@ -68,7 +69,7 @@
 		return mistakes;
 	}
 	settings read;
-	// The schema has checked presence and types; defaults below are those of optional fields.
+	// The schema has validated presence and types, so only optional fields need defaults.
 	read.name = _document["name"];
 	read.region = _document["region"];
 	read.domain = _document["domain"];
@@ -93,7 +94,7 @@
 	read.read_ahead = _document.value("read_ahead", true);
 	read.trust_caller_header = _document.value("trust_caller_header", false);
 	read.test_faults = _document.value("test_faults", false);
-	// Addresses that the schema could not judge.
+	// The schema only checks a pattern for addresses; endpoint_at() has added those that do not parse.
 	if (!mistakes.empty())
 	{
 		return mistakes;
--- a/src/base/settings_p.h
+++ b/src/base/settings_p.h
@@ -2,11 +2,11 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Settings of larkrackd, read from JSON and checked by schema; and addresses of the form IP:port.
+/// Settings of larkrackd, read from a JSON file and validated by a schema; and addresses of the form IP:port.
 ///
-/// Owns: the settings of this process, read once at its start.
-/// Relies on: schema_settings for form and defaults. The settings of larkrack-edge share the schema check and
-/// endpoint only: they have other fields and are read again while the process lives.
+/// Owns: the settings of this process, which are read once at startup.
+/// Relies on: schema_settings() for validation. larkrack-edge shares only the schema validation and
+/// `endpoint`: its settings have different fields and are reloaded while the process runs.
 #pragma once
 
 #include "base/kernel_p.h"
@@ -25,43 +25,43 @@
 	std::uint16_t port = 0;
 };
 
-/// @returns The endpoint in "IP:port" or "[IP]:port", or an error.
+/// Parses "IP:port" or "[IP]:port".
 result<endpoint> parse_endpoint(const std::string& _text);
-/// @returns "IP:port".
+/// @returns "IP:port", or "[IP]:port" for an IPv6 address.
 std::string to_string(const endpoint& _endpoint);
 
-/// Settings of one larkrackd; see the schema for their meaning.
+/// Settings of one larkrackd process; schema_tables.cpp describes each field.
 struct settings
 {
-	std::string name; ///< Of this entry VM, as the configuration names it.
+	std::string name; ///< Name of this entry VM in the configuration.
 	std::string region;
 	std::string domain;          ///< Failure domain.
-	endpoint callers;            ///< Listens for callers.
-	endpoint relay;              ///< Listens for requests of other entry VMs.
-	endpoint peers;              ///< Listens for control messages of other entry VMs.
-	endpoint operators;          ///< Listens for operators and scrapes.
-	endpoint platform;           ///< The store.
-	std::vector<endpoint> seeds; ///< Peers that are asked for a configuration when there is none.
+	endpoint callers;            ///< Listening address for callers.
+	endpoint relay;              ///< Listening address for requests relayed by other entry VMs.
+	endpoint peers;              ///< Listening address for control messages of other entry VMs.
+	endpoint operators;          ///< Listening address for operators and metrics scrapes.
+	endpoint platform;           ///< Address of the key-value store.
+	std::vector<endpoint> seeds; ///< Peers to fetch a configuration from when the platform does not respond.
 	std::string secret;          ///< Shared by all entry VMs; signs grants, relays and handshakes.
 	std::string operator_token;
-	std::string chooser = "own_count"; ///< Rule of choice among owned backend servers.
+	std::string chooser = "own_count"; ///< Load-balancing rule among owned backend servers.
 	std::string log_file;              ///< Empty: standard output.
 	std::string trace_file;            ///< Empty: no file.
-	std::string trace_http;            ///< Collector; empty: none.
-	double trace_share = 0.0;          ///< Part of requests without a trace that are traced, 0 to 1.
+	std::string trace_http;            ///< Address of an OTLP/HTTP collector; empty: none.
+	double trace_share = 0.0; ///< Fraction of requests without a traceparent header that are traced, 0 to 1.
 	std::size_t traffic_threads = 1;
-	bool read_ahead = true;           ///< Read answers ahead of slow callers.
-	bool trust_caller_header = false; ///< Take the caller's address from Larkrack-Caller.
-	bool test_faults = false;         ///< Let tests cut links.
+	bool read_ahead = true;           ///< Read responses ahead of slow callers.
+	bool trust_caller_header = false; ///< Take the caller's address from header Larkrack-Caller.
+	bool test_faults = false;         ///< Allow tests to partition the node from peers.
 };
 
-/// Checks and reads settings.
-/// @returns Settings, or all mistakes.
+/// Validates a settings document.
+/// @returns The settings, or all mistakes of the document.
 std::variant<settings, std::vector<mistake>> parse_settings(const nlohmann::json& _document);
 /// Reads a JSON file.
 result<nlohmann::json> read_json_file(const std::string& _path);
 
-/// Makes settings available to other services.
+/// Service that provides the settings to other services.
 class settings_service : public service_base
 {
 public:
@@ -72,7 +72,7 @@
 	{
 		return "settings";
 	}
-	/// @returns The settings; they do not change while the process lives.
+	/// @returns The settings, which do not change while the process runs.
 	const settings& get() const
 	{
 		return m_settings;
--- a/src/store/store_base64.cpp
+++ b/src/store/store_base64.cpp
@@ -2,12 +2,13 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Base64 of keys and values, and the end of a range of keys, as the key-value services want them.
-/// The codec is the one of Boost.Beast, which every program links already, although its namespace is an
-/// internal one. Abseil's public one was measured beside it in a program of its own, three runs each: 188 to
-/// 204 KiB more resident for its four shared libraries, which `larkrack-edge` does not load otherwise, and
-/// 0.20 to 0.21 microseconds against 0.14 to 0.24 for a value of 40 bytes there and back. Memory of an entry
-/// VM is priced, so this stays.
+/// Encoding of keys, values, integers and key ranges for the JSON API of the key-value store.
+///
+/// The base64 codec is the one of Boost.Beast, which every program already links, although it is in an
+/// internal namespace. Abseil's public codec was compared in a separate program, three runs each: its four
+/// shared libraries, which larkrack-edge does not load otherwise, add 188 to 204 KiB of resident memory;
+/// encoding and decoding a value of 40 bytes takes 0.20 to 0.21 microseconds, against 0.14 to 0.24 with
+/// Boost.Beast. Memory of an entry VM is priced, so the codec of Boost.Beast is used.
 
 #include "store/store_p.h"
 
--- a/src/store/store_http.cpp
+++ b/src/store/store_http.cpp
@@ -9,13 +9,13 @@
 {
 namespace
 {
-/// A watch that carries nothing for this long is opened anew, as its connection may be dead. Shorter finds
-/// that sooner and opens more watches (calls counted in docs/CAPACITY.md). Not measured.
-constexpr std::chrono::seconds k_watch_silence{30};
+/// A watch without any data for this long is reopened, since its connection may be dead. A shorter time
+/// detects dead connections sooner and opens more watches (calls counted in docs/CAPACITY.md).
+constexpr std::chrono::seconds k_watch_idle_timeout{30};
 
-store_value value_of_json(const nlohmann::json& _kv)
+store_value parse_value(const nlohmann::json& _kv)
 {
-	// A missing field is an empty one; see integer_field().
+	// The gateway omits empty fields; see integer_field().
 	store_value value;
 	value.key = from_base64(_kv.value("key", ""));
 	value.value = from_base64(_kv.value("value", ""));
@@ -24,12 +24,12 @@
 	return value;
 }
 
-std::vector<store_value> values_of_json(const nlohmann::json& _reply)
+std::vector<store_value> parse_values(const nlohmann::json& _reply)
 {
 	std::vector<store_value> values;
 	for (const nlohmann::json& kv : _reply.value("kvs", nlohmann::json::array()))
 	{
-		values.push_back(value_of_json(kv));
+		values.push_back(parse_value(kv));
 	}
 	return values;
 }
@@ -49,13 +49,13 @@
 	return body;
 }
 
-watch_batch batch_of_json(const nlohmann::json& _result)
+watch_batch parse_watch_batch(const nlohmann::json& _result)
 {
 	watch_batch batch;
 	batch.store_revision = revision_of(_result);
 	for (const nlohmann::json& event : _result.value("events", nlohmann::json::array()))
 	{
-		const store_value value = value_of_json(event.at("kv"));
+		const store_value value = parse_value(event.at("kv"));
 		if ("DELETE" == event.value("type", "PUT"))
 		{
 			batch.deletes.push_back({value.key, value.mod_revision});
@@ -78,7 +78,7 @@
     bool _writes, const yield_context& _yield)
 {
 	count(_use);
-	if (m_cut)
+	if (m_partitioned)
 	{
 		return {call_status::not_done, {}};
 	}
@@ -90,7 +90,7 @@
 		return {may_have_run ? call_status::unsure : call_status::not_done, {}};
 	}
 	const http_response& response = std::get<http_response>(called);
-	// Not logged here: platform_sync logs the change from reached to not reached, and not each call.
+	// Not logged here: platform_sync logs when the platform becomes unreachable, and not every failed call.
 	nlohmann::json body = nlohmann::json::parse(response.body(), nullptr, false);
 	if (http::status::ok != response.result() || body.is_discarded())
 	{
@@ -107,7 +107,7 @@
 	{
 		return {};
 	}
-	return {call_status::done, values_of_json(got.body), revision_of(got.body)};
+	return {call_status::done, parse_values(got.body), revision_of(got.body)};
 }
 
 txn_reply store_http::txn(const char* _use, const std::vector<store_compare>& _conditions,
@@ -142,14 +142,14 @@
 	{
 		return answer;
 	}
-	// False is left out of the JSON; see integer_field().
+	// The gateway omits fields that are false; see integer_field().
 	answer.succeeded = got.body.value("succeeded", false);
 	answer.store_revision = revision_of(got.body);
 	for (const nlohmann::json& part : got.body.value("responses", nlohmann::json::array()))
 	{
 		if (part.contains("response_range"))
 		{
-			const std::vector<store_value> values = values_of_json(part["response_range"]);
+			const std::vector<store_value> values = parse_values(part["response_range"]);
 			answer.current.insert(answer.current.end(), values.begin(), values.end());
 		}
 	}
@@ -185,7 +185,7 @@
     const std::function<bool(const watch_batch&)>& _on_batch, const yield_context& _yield)
 {
 	count(_use);
-	if (m_cut)
+	if (m_partitioned)
 	{
 		return watch_end::broken;
 	}
@@ -206,15 +206,15 @@
 	http::async_write(connection->stream, request, _yield[failure]);
 	http::response_parser<http::string_body> parser;
 	parser.body_limit(k_any_length);
-	while (!failure && !m_cut)
+	while (!failure && !m_partitioned)
 	{
-		connection->stream.expires_after(k_watch_silence);
+		connection->stream.expires_after(k_watch_idle_timeout);
 		http::async_read_some(connection->stream, connection->buffer, parser, _yield[failure]);
 		std::string& text = parser.get().body();
 		std::size_t end = text.find('\n');
 		while (std::string::npos != end)
 		{
-			// A line that is no answer ends the watch; the caller then goes on from its last revision.
+			// An invalid line ends the watch; the caller resumes it from the last revision it received.
 			const nlohmann::json line = nlohmann::json::parse(text.substr(0, end), nullptr, false);
 			text.erase(0, end + 1);
 			if (line.is_discarded() || !line.contains("result"))
@@ -225,7 +225,7 @@
 			{
 				return watch_end::history_lost;
 			}
-			if (!_on_batch(batch_of_json(line["result"])))
+			if (!_on_batch(parse_watch_batch(line["result"])))
 			{
 				return watch_end::stopped;
 			}
@@ -236,7 +236,7 @@
 			return watch_end::broken;
 		}
 	}
-	// Silence for k_watch_silence ends here too, so it is no error to log; the caller opens the watch anew.
+	// Not logged: an idle timeout (k_watch_idle_timeout) ends here too. The caller reopens the watch.
 	return watch_end::broken;
 }
 } // namespace larkrack
--- a/src/store/store_p.h
+++ b/src/store/store_p.h
@@ -4,11 +4,10 @@
 /// @file
 /// Client of the key-value store: reads, compare-and-swap transactions, leases, watches.
 ///
-/// Decides: what is known after a call (call_status): a lost answer to a write is `unsure`, never
-/// `not_done`.
-/// Owns: its connections and a count of calls by use. It neither repeats calls nor backs off: callers do.
-/// Relies on: a store that gives each write one revision which only grows, and that answers within
-/// k_platform_deadline.
+/// Decides: the status of a call (call_status). A write whose response was lost is `unsure`, never
+/// `not_done`. Owns: connections to the store, and a count of calls by purpose. Retries and backoff are left
+/// to the users of this interface. Relies on: a store that assigns one monotonically increasing revision to
+/// each write, and that responds within k_platform_deadline.
 #pragma once
 
 #include "base/http_p.h"
@@ -21,14 +20,15 @@
 
 namespace larkrack
 {
-/// What is known of a call.
+/// Status of a call.
 enum class call_status
 {
-	done,     ///< It took effect, or its answer is complete.
-	not_done, ///< It had no effect.
-	unsure,   ///< It may have had an effect; read back before anything follows.
+	done,     ///< The write took effect, or the read returned a complete result.
+	not_done, ///< The call had no effect.
+	unsure,   ///< The write may have taken effect; read the keys back before continuing.
 };
 
+/// Key and value. Lease 0: the key has no lease.
 struct store_value
 {
 	std::string key;
@@ -37,14 +37,14 @@
 	std::int64_t lease = 0;
 };
 
-/// Condition of a transaction. Revision 0: the key does not exist.
+/// Condition of a transaction: the key has this modification revision; 0: the key does not exist.
 struct store_compare
 {
 	std::string key;
 	std::int64_t mod_revision = 0;
 };
 
-/// Write of a transaction. No value: delete.
+/// Write of a transaction. Without a value, the key is deleted.
 struct store_write
 {
 	std::string key;
@@ -62,26 +62,27 @@
 struct txn_reply
 {
 	call_status status = call_status::not_done;
-	bool succeeded = false; ///< Whether all conditions held.
+	bool succeeded = false; ///< Whether all conditions held and the writes were applied.
 	std::int64_t store_revision = 0;
-	std::vector<store_value> current; ///< When they did not: the compared keys as they are.
+	std::vector<store_value>
+	    current; ///< If the conditions did not hold: current values of the compared keys.
 };
 
 struct lease_reply
 {
 	call_status status = call_status::not_done;
 	std::int64_t id = 0;
-	std::chrono::seconds ttl{0}; ///< 0 from a keep-alive: the lease has lapsed.
+	std::chrono::seconds ttl{0}; ///< Time to live; 0 from a keep-alive: the lease has expired.
 };
 
-/// Delete of a key.
+/// Deletion of a key.
 struct store_delete
 {
 	std::string key;
-	std::int64_t mod_revision = 0; ///< Revision of the delete; 0: that of the batch.
+	std::int64_t mod_revision = 0; ///< Revision of the deletion; 0: the revision of the batch.
 };
 
-/// One batch of a watch.
+/// Changes that a watch delivers together.
 struct watch_batch
 {
 	std::vector<store_value> puts;
@@ -89,15 +90,15 @@
 	std::int64_t store_revision = 0;
 };
 
-/// Why a watch ended. None of these is logged here: platform_sync knows which of them matters.
+/// Why a watch ended. The store does not log this; platform_sync logs the cases that matter.
 enum class watch_end
 {
-	stopped,      ///< The callback asked for it.
-	broken,       ///< The platform does not answer; the watch may go on from where it was.
-	history_lost, ///< Changes after the revision are no longer known; the keys must be read anew.
+	stopped,      ///< The callback returned false.
+	broken,       ///< The connection to the store failed; the watch can resume from the last revision.
+	history_lost, ///< The store has compacted the requested revision; all keys must be read again.
 };
 
-/// Each call names its use; calls are counted by that name.
+/// Interface of the key-value store. Each call states its purpose (`_use`); calls are counted by purpose.
 class store_base : public service_base
 {
 public:
@@ -108,27 +109,27 @@
 	/// Reads one key, or all keys with a prefix.
 	virtual range_reply range(
 	    const char* _use, const std::string& _key, bool _prefix, const yield_context& _yield) = 0;
-	/// Reads like range() from a copy of the store that may be seconds old and costs it less. The revision is
-	/// that of the copy, so that a watch from there misses nothing.
+	/// Reads like range(), but from a replica that may be seconds old, which costs the store less. The
+	/// returned revision is that of the replica, so that a watch from this revision misses no change.
 	virtual range_reply range_old(
 	    const char* _use, const std::string& _key, bool _prefix, const yield_context& _yield)
 	{
 		return range(_use, _key, _prefix, _yield);
 	}
-	/// Writes if all conditions hold.
+	/// Applies all writes atomically if all conditions hold.
 	virtual txn_reply txn(const char* _use, const std::vector<store_compare>& _conditions,
 	    const std::vector<store_write>& _writes, const yield_context& _yield) = 0;
 	virtual lease_reply lease_grant(
 	    const char* _use, std::chrono::seconds _ttl, const yield_context& _yield) = 0;
 	virtual lease_reply lease_keep_alive(const char* _use, std::int64_t _id, const yield_context& _yield) = 0;
 	virtual lease_reply lease_revoke(const char* _use, std::int64_t _id, const yield_context& _yield) = 0;
-	/// Calls back for each change to keys with a prefix, until the callback returns false or the watch
-	/// breaks.
-	/// @param[in] _from First store revision of interest; 0: from now on.
+	/// Passes each change to keys with a prefix to a callback, until the callback returns false or the watch
+	/// fails.
+	/// @param[in] _from First store revision to deliver; 0: only changes from now on.
 	virtual watch_end watch(const char* _use, const std::string& _prefix, std::int64_t _from,
 	    const std::function<bool(const watch_batch&)>& _on_batch, const yield_context& _yield) = 0;
 
-	/// @returns Calls by use, since the start.
+	/// @returns Number of calls by purpose, since the process started.
 	const std::map<std::string, std::uint64_t>& calls() const
 	{
 		return m_calls;
@@ -144,7 +145,7 @@
 	std::map<std::string, std::uint64_t> m_calls;
 };
 
-/// The platform over the etcd v3 JSON gateway.
+/// Store client for the etcd v3 JSON gateway.
 class store_http : public store_base
 {
 public:
@@ -159,10 +160,10 @@
 	lease_reply lease_revoke(const char* _use, std::int64_t _id, const yield_context& _yield) override;
 	watch_end watch(const char* _use, const std::string& _prefix, std::int64_t _from,
 	    const std::function<bool(const watch_batch&)>& _on_batch, const yield_context& _yield) override;
-	/// Cuts the node off from the platform. For tests.
+	/// Partitions the node from the platform. For tests.
 	void set_cut(bool _cut)
 	{
-		m_cut = _cut;
+		m_partitioned = _cut;
 	}
 
 private:
@@ -177,16 +178,17 @@
 	asio::io_context& m_context;
 	endpoint m_endpoint;
 	http_caller m_caller;
-	bool m_cut = false;
+	bool m_partitioned = false;
 };
 
-/// @returns An integer of the gateway's JSON, which may be a string, and which is left out when it is 0, as
-/// protobuf asks.
+/// @returns An integer field of the gateway's JSON. As in protobuf's JSON mapping, the field may be a string,
+/// and a missing field is 0.
 std::int64_t integer_field(const nlohmann::json& _object, const char* _field);
-/// @returns Base64 of a text, as the gateway wants keys and values.
+/// @returns A string in base64, the encoding of keys and values in the gateway's JSON.
 std::string to_base64(const std::string& _text);
-/// @returns Text of base64, up to the first character that is none. Only the store's own answers come here.
+/// @returns The decoded base64 string, up to the first invalid character. Only used for responses of the
+/// store.
 std::string from_base64(const std::string& _text);
-/// @returns End of the range of all keys with a prefix.
+/// @returns End (exclusive) of the range of all keys with a prefix.
 std::string prefix_end(std::string _prefix);
 } // namespace larkrack
