--- a/include/larkrack/config.h
+++ b/include/larkrack/config.h
@@ -6,7 +6,8 @@
 /// its trade-off, and the measurement that it is based on, if any. Queue wait and heartbeat interval can be
 /// set at build time.
 ///
-/// Owns: the values. Relies on: nothing of larkrack.
+/// Owns: the values.
+/// Relies on: nothing of larkrack.
 #pragma once
 
 #include <chrono>
--- a/include/larkrack/ids.h
+++ b/include/larkrack/ids.h
@@ -7,7 +7,8 @@
 ///
 /// Handles of different tables, revisions and incarnations are distinct types, so that the compiler rejects
 /// mixing them up.
-/// Owns: no state. Relies on: handles being used only with the policy that issued them.
+/// Owns: no state.
+/// Relies on: handles being used only with the policy that issued them.
 #pragma once
 
 #include <cstdint>
--- a/include/larkrack/outcome.h
+++ b/include/larkrack/outcome.h
@@ -6,7 +6,9 @@
 ///
 /// Functions that can fail return a result, which holds a value or an error; exceptions mean broken
 /// invariants. Outcomes, reasons and headers are part of the protocol with callers, which docs/CALLERS.md
-/// documents. Owns: no state. Relies on: nothing of larkrack.
+/// documents.
+/// Owns: no state.
+/// Relies on: nothing of larkrack.
 #pragma once
 
 #include <string>
--- a/src/base/http_p.h
+++ b/src/base/http_p.h
@@ -7,10 +7,12 @@
 /// Used by larkrackd and the tools, which write each request as a sequential coroutine. larkrack-edge has
 /// http_listener instead, which uses callbacks: a coroutine stack for each connection
 /// (k_coroutine_stack_size) would cost memory, which is priced there (docs/PLATFORM.md). http_listener does
-/// not stream responses. Decides: which requests are invalid (they get a 4xx response and outcome `not_run`),
-/// and when a connection may be reused. Owns: the sessions of callers, and idle connections to servers; each
-/// belongs to one thread. Relies on: one thread for each I/O context, so no strand is needed; limits (bytes)
-/// and timeouts from larkrack/config.h.
+/// not stream responses.
+/// Decides: which requests are invalid (they get a 4xx response and outcome `not_run`), and when a connection
+/// may be reused.
+/// Owns: the sessions of callers, and idle connections to servers; each belongs to one thread.
+/// Relies on: one thread for each I/O context, so no strand is needed; limits (bytes) and timeouts from
+/// larkrack/config.h.
 #pragma once
 
 #include "base/clock_p.h"
--- a/src/base/http_server.cpp
+++ b/src/base/http_server.cpp
@@ -82,21 +82,21 @@
 	}
 	if (11 != _request.version() && 10 != _request.version())
 	{
-		return "the version of HTTP is not 1.0 or 1.1";
+		return "unsupported HTTP version, neither 1.0 nor 1.1";
 	}
 	if (1 < field_count(_request, http::field::host))
 	{
-		return "several Host headers";
+		return "more than one Host header";
 	}
 	if (11 == _request.version() && 0 == field_count(_request, http::field::host))
 	{
-		return "no Host header";
+		return "missing Host header";
 	}
 	if (1 < field_count(_request, http::field::content_length) ||
 	    (0 < field_count(_request, http::field::content_length) &&
 	        0 < field_count(_request, http::field::transfer_encoding)))
 	{
-		return "more than one length of the body";
+		return "conflicting lengths of the body";
 	}
 	return "";
 }
--- a/src/base/kernel_p.h
+++ b/src/base/kernel_p.h
@@ -6,8 +6,10 @@
 /// find each other by name.
 ///
 /// A program (larkrackd, or a test fixture) is a list of services; tests replace a service by a fake of the
-/// same name. Owns: all services of a program, until the program ends. Relies on: the order in which services
-/// are added: service_base::init() may only use services that were added earlier.
+/// same name.
+/// Owns: all services of a program, until the program ends.
+/// Relies on: the order in which services are added: service_base::init() may only use services that were
+/// added earlier.
 #pragma once
 
 #include "larkrack/outcome.h"
--- a/src/store/store_p.h
+++ b/src/store/store_p.h
@@ -5,9 +5,11 @@
 /// Client of the key-value store: reads, compare-and-swap transactions, leases, watches.
 ///
 /// Decides: the status of a call (call_status). A write whose response was lost is `unsure`, never
-/// `not_done`. Owns: connections to the store, and a count of calls by purpose. Retries and backoff are left
-/// to the users of this interface. Relies on: a store that assigns one monotonically increasing revision to
-/// each write, and that responds within k_platform_deadline.
+/// `not_done`.
+/// Owns: connections to the store, and a count of calls by purpose. Retries and backoff are left to the users
+/// of this interface.
+/// Relies on: a store that assigns one monotonically increasing revision to each write, and that responds
+/// within k_platform_deadline.
 #pragma once
 
 #include "base/http_p.h"
--- a/src/testing/callers.cpp
+++ b/src/testing/callers.cpp
@@ -13,14 +13,18 @@
 {
 constexpr std::chrono::milliseconds k_connect_timeout{500};
 constexpr std::chrono::milliseconds k_lookup_timeout{1000};
-constexpr std::chrono::milliseconds k_idle{1000};
-constexpr std::chrono::milliseconds k_second_try{150};
-/// Callers wait this much longer than the deadline that they state.
-constexpr std::chrono::milliseconds k_patience{500};
-constexpr int k_ask_tries = 4;
-constexpr int k_sends = 3;
+constexpr std::chrono::milliseconds k_max_idle{1000};
+constexpr std::chrono::milliseconds k_retry_delay{150};
+/// Time beyond the stated deadline for which a caller waits for the response.
+constexpr std::chrono::milliseconds k_deadline_margin{500};
+/// Maximum number of entry VMs that one look-up is sent to.
+constexpr int k_max_lookup_attempts = 4;
+/// Attempts of an operation in addition to its retries: the first attempt, and further ones after failed
+/// connections.
+constexpr int k_max_connect_attempts = 3;
 
-std::string unknown_if_sent(bool _connected)
+/// @returns The outcome of an attempt without a response.
+std::string outcome_without_response(bool _connected)
 {
 	return _connected ? "unknown" : "not_run";
 }
@@ -33,7 +37,7 @@
 {
 }
 
-std::optional<callers::looked_up> callers::ask(
+std::optional<callers::lookup_result> callers::request_lookup(
     const endpoint& _where, const caller_operation& _operation, const yield_context& _yield)
 {
 	http_caller caller(m_context.get_executor());
@@ -48,7 +52,7 @@
 	{
 		return std::nullopt;
 	}
-	looked_up found;
+	lookup_result found;
 	found.grant = body["grant"];
 	found.expires = std::chrono::steady_clock::now() + std::chrono::milliseconds(body.value("ttl_ms", 0));
 	for (const nlohmann::json& vm : body["entry_vms"])
@@ -62,7 +66,7 @@
 	return found;
 }
 
-callers::looked_up callers::look_up(const caller_operation& _operation, const yield_context& _yield)
+callers::lookup_result callers::look_up(const caller_operation& _operation, const yield_context& _yield)
 {
 	const std::string key = _operation.caller + "/" + _operation.service;
 	const auto it = m_cache.find(key);
@@ -70,19 +74,19 @@
 	{
 		return it->second;
 	}
-	std::vector<const deployed_vm*> near;
-	std::vector<const deployed_vm*> far;
+	std::vector<const deployed_vm*> candidates;
+	std::vector<const deployed_vm*> other_regions;
 	for (const deployed_vm& vm : m_deployment.entry_vms)
 	{
-		(vm.region == _operation.home ? near : far).push_back(&vm);
+		(vm.region == _operation.home ? candidates : other_regions).push_back(&vm);
 	}
-	std::shuffle(near.begin(), near.end(), m_random);
-	std::shuffle(far.begin(), far.end(), m_random);
-	near.insert(near.end(), far.begin(), far.end());
-	near.resize(std::min<std::size_t>(near.size(), k_ask_tries));
-	for (const deployed_vm* vm : near)
+	std::shuffle(candidates.begin(), candidates.end(), m_random);
+	std::shuffle(other_regions.begin(), other_regions.end(), m_random);
+	candidates.insert(candidates.end(), other_regions.begin(), other_regions.end());
+	candidates.resize(std::min<std::size_t>(candidates.size(), k_max_lookup_attempts));
+	for (const deployed_vm* vm : candidates)
 	{
-		if (std::optional<looked_up> found = ask(vm->callers, _operation, _yield))
+		if (std::optional<lookup_result> found = request_lookup(vm->callers, _operation, _yield))
 		{
 			m_cache[key] = *found;
 			return *found;
@@ -91,22 +95,22 @@
 	return {};
 }
 
-http_request callers::make(
-    const caller_operation& _operation, const choice& _to, const std::string& _key, bool _first_try)
+http_request callers::make_operation_request(const caller_operation& _operation, const entry_choice& _to,
+    const std::string& _key, bool _is_first_attempt)
 {
 	const bool is_payment = "payment" == _operation.kind;
 	const std::string target = "/" + _operation.service + "/" + _operation.kind + "?kind=" + _operation.kind +
 	                           "&work_us=" + std::to_string(_operation.work_us) +
 	                           "&bytes=" + std::to_string(_operation.bytes) + "&object=" + _operation.object;
-	http_request request = make_request(
-	    is_payment ? http::verb::post : http::verb::get, target, _to.where, is_payment ? "{\"pay\":1}" : "");
+	http_request request = make_request(is_payment ? http::verb::post : http::verb::get, target, _to.address,
+	    is_payment ? "{\"pay\":1}" : "");
 	request.set(k_header_caller, _operation.caller);
 	request.set(k_header_deadline, std::to_string(_operation.deadline_ms));
 	request.set(k_header_priority, std::to_string(_operation.priority));
 	if (!_key.empty())
 	{
 		request.set(k_header_key, _key);
-		if (_first_try)
+		if (_is_first_attempt)
 		{
 			request.set(k_header_first_try, "1");
 		}
@@ -115,7 +119,7 @@
 }
 
 void callers::read_body(client_connection& _connection, http::response_parser<http::buffer_body>& _parser,
-    const caller_operation& _operation, answer& _answer, const yield_context& _yield)
+    const caller_operation& _operation, response_record& _response, const yield_context& _yield)
 {
 	const body_pattern pattern(_operation.object);
 	std::vector<char> piece(0 < _operation.read_rate ? k_piece / 8 : k_piece);
@@ -128,35 +132,36 @@
 		http::async_read(_connection.stream, _connection.buffer, _parser, _yield[failure]);
 		failure = http::error::need_buffer == failure ? beast::error_code() : failure;
 		const std::size_t got = piece.size() - _parser.get().body().size;
-		_answer.own =
-		    _answer.own && ("served" != _answer.outcome || pattern.matches(piece.data(), got, _answer.bytes));
-		_answer.bytes += got;
+		_response.content_matches =
+		    _response.content_matches &&
+		    ("served" != _response.outcome || pattern.matches(piece.data(), got, _response.bytes));
+		_response.bytes += got;
 		if (0 < _operation.read_rate)
 		{
 			sleep_for(m_context.get_executor(),
 			    std::chrono::microseconds(1000000 * got / _operation.read_rate), _yield);
 		}
 	}
-	_answer.whole = !failure && ("served" != _answer.outcome || _answer.bytes == _operation.bytes);
+	_response.complete = !failure && ("served" != _response.outcome || _response.bytes == _operation.bytes);
 }
 
-callers::answer callers::send(const caller_operation& _operation, const choice& _to, const std::string& _key,
-    bool _first_try, const yield_context& _yield)
+callers::response_record callers::send(const caller_operation& _operation, const entry_choice& _to,
+    const std::string& _key, bool _is_first_attempt, const yield_context& _yield)
 {
-	answer got;
-	got.way = _to.name;
-	connection_ptr connection = m_pool.take(_to.where, k_idle);
+	response_record got;
+	got.entry_vms = _to.name;
+	connection_ptr connection = m_pool.take(_to.address, k_max_idle);
 	if (!connection)
 	{
-		connection = m_pool.connect(_to.where, k_connect_timeout, _yield);
+		connection = m_pool.connect(_to.address, k_connect_timeout, _yield);
 	}
 	if (!connection)
 	{
 		return got;
 	}
 	got.connected = true;
-	const http_request request = make(_operation, _to, _key, _first_try);
-	connection->stream.expires_after(std::chrono::milliseconds(_operation.deadline_ms) + k_patience);
+	const http_request request = make_operation_request(_operation, _to, _key, _is_first_attempt);
+	connection->stream.expires_after(std::chrono::milliseconds(_operation.deadline_ms) + k_deadline_margin);
 	beast::error_code failure;
 	http::async_write(connection->stream, request, _yield[failure]);
 	http::response_parser<http::buffer_body> parser;
@@ -171,77 +176,78 @@
 		return got;
 	}
 	const auto& head = parser.get();
-	got.got_head = true;
+	got.has_header = true;
 	got.status = static_cast<int>(head.result_int());
 	got.outcome = header_of(head, k_header_outcome);
 	got.reason = header_of(head, k_header_reason);
-	got.way = header_of(head, k_header_entry_vm);
+	got.entry_vms = header_of(head, k_header_entry_vm);
 	got.backend = header_of(head, k_header_backend);
 	got.id = header_of(head, k_header_request_id);
 	got.retry_after_ms = header_of(head, k_header_retry_after_ms);
 	if ("not-kept" == header_of(head, "Larkrack-Body"))
 	{
-		got.whole = true;
+		got.complete = true;
 		return got;
 	}
 	read_body(*connection, parser, _operation, got, _yield);
-	if (got.whole && parser.get().keep_alive())
+	if (got.complete && parser.get().keep_alive())
 	{
-		m_pool.give(_to.where, std::move(connection));
+		m_pool.give(_to.address, std::move(connection));
 	}
 	return got;
 }
 
-void callers::write(const caller_operation& _operation, const std::string& _key, const answer& _answer,
-    std::int64_t _t0, int _try)
+void callers::write_history(const caller_operation& _operation, const std::string& _key,
+    const response_record& _response, std::int64_t _t0, int _attempt)
 {
-	const std::string outcome = _answer.got_head ? _answer.outcome : unknown_if_sent(_answer.connected);
-	m_history.write({{"type", "request"}, {"id", _answer.id}, {"key", _key}, {"kind", _operation.kind},
+	const std::string outcome =
+	    _response.has_header ? _response.outcome : outcome_without_response(_response.connected);
+	m_history.write({{"type", "request"}, {"id", _response.id}, {"key", _key}, {"kind", _operation.kind},
 	    {"service", _operation.service}, {"home", _operation.home}, {"t0", _t0},
-	    {"t1", to_us(m_clock.wall())}, {"outcome", outcome}, {"reason", _answer.reason},
-	    {"status", _answer.status}, {"way", _answer.way}, {"backend", _answer.backend},
-	    {"region", m_deployment.region_of_backend(_answer.backend)}, {"whole", _answer.whole},
-	    {"own", _answer.own}, {"bytes", _answer.bytes}, {"try", _try}, {"sent", _answer.connected},
-	    {"retry_after_ms", _answer.retry_after_ms}});
+	    {"t1", to_us(m_clock.wall())}, {"outcome", outcome}, {"reason", _response.reason},
+	    {"status", _response.status}, {"way", _response.entry_vms}, {"backend", _response.backend},
+	    {"region", m_deployment.region_of_backend(_response.backend)}, {"whole", _response.complete},
+	    {"own", _response.content_matches}, {"bytes", _response.bytes}, {"try", _attempt},
+	    {"sent", _response.connected}, {"retry_after_ms", _response.retry_after_ms}});
 }
 
-void callers::operate(const caller_operation& _operation, const yield_context& _yield)
+void callers::run_operation(const caller_operation& _operation, const yield_context& _yield)
 {
 	++m_in_flight;
 	std::string key;
 	bool sent = false;
 	std::size_t next = 0;
-	looked_up found = look_up(_operation, _yield);
+	lookup_result found = look_up(_operation, _yield);
 	if ("payment" == _operation.kind)
 	{
-		const std::string own = "k" + std::to_string(m_random()) + "-" + std::to_string(++m_next_key);
-		key = found.grant.empty() ? own : found.grant + "/" + own;
+		const std::string unique = "k" + std::to_string(m_random()) + "-" + std::to_string(++m_next_key);
+		key = found.grant.empty() ? unique : found.grant + "/" + unique;
 	}
-	int second_tries = _operation.second_tries;
-	for (int attempt = 0; attempt < k_sends + _operation.second_tries; ++attempt)
+	int retries = _operation.retries;
+	for (int attempt = 0; attempt < k_max_connect_attempts + _operation.retries; ++attempt)
 	{
 		const std::int64_t t0 = to_us(m_clock.wall());
 		if (found.choices.empty())
 		{
-			write(_operation, key, {}, t0, attempt);
+			write_history(_operation, key, {}, t0, attempt);
 			break;
 		}
-		const choice to = found.choices[next++ % found.choices.size()];
-		const answer got = send(_operation, to, key, !sent, _yield);
-		write(_operation, key, got, t0, attempt);
+		const entry_choice to = found.choices[next++ % found.choices.size()];
+		const response_record got = send(_operation, to, key, !sent, _yield);
+		write_history(_operation, key, got, t0, attempt);
 		sent = sent || got.connected;
 		if (!got.connected)
 		{
-			// Nothing was sent: another entry VM may be asked at once.
+			// Nothing was sent, so another entry VM may be tried immediately.
 			m_cache.erase(_operation.caller + "/" + _operation.service);
 			continue;
 		}
-		const bool open = !got.got_head || "unknown" == got.outcome;
-		if (!open || 0 == second_tries--)
+		const bool is_unknown = !got.has_header || "unknown" == got.outcome;
+		if (!is_unknown || 0 == retries--)
 		{
 			break;
 		}
-		sleep_for(m_context.get_executor(), k_second_try, _yield);
+		sleep_for(m_context.get_executor(), k_retry_delay, _yield);
 	}
 	--m_in_flight;
 }
--- a/src/testing/checker.cpp
+++ b/src/testing/checker.cpp
@@ -12,13 +12,14 @@
 namespace
 {
 constexpr std::int64_t k_second_us = 1000000;
-/// Requests that a window must hold to be judged.
-constexpr double k_window_least = 50.0;
-/// Deviations that chance alone may explain.
-constexpr double k_sigmas = 4.0;
-/// Shares move by this much between two events without being a step.
+/// Minimum number of requests in a window; windows with fewer are not checked.
+constexpr double k_min_window_requests = 50.0;
+/// Number of standard deviations that are attributed to noise.
+constexpr double k_noise_sigmas = 4.0;
+/// Rounding tolerance when comparing two shares.
 constexpr double k_share_slack = 1e-6;
 
+/// Line of a backend server: one run of a request. Times in microseconds since 1970.
 struct run_line
 {
 	std::string backend;
@@ -31,27 +32,27 @@
 	int slots = 0;
 };
 
-std::string text(const nlohmann::json& _line, const char* _field)
+std::string text_field(const nlohmann::json& _line, const char* _field)
 {
 	const auto it = _line.find(_field);
 	return _line.end() != it && it->is_string() ? it->get<std::string>() : std::string();
 }
 
-std::int64_t number(const nlohmann::json& _line, const char* _field)
+std::int64_t number_field(const nlohmann::json& _line, const char* _field)
 {
 	const auto it = _line.find(_field);
 	return _line.end() != it && it->is_number() ? it->get<std::int64_t>() : 0;
 }
 
-/// Walks a history once for each promise.
-class judge
+/// Checks a history with one pass for each guarantee.
+class history_checker
 {
 public:
-	judge(const std::vector<nlohmann::json>& _lines, const check_rules& _rules) : m_rules(_rules)
+	history_checker(const std::vector<nlohmann::json>& _lines, const check_rules& _rules) : m_rules(_rules)
 	{
 		for (const nlohmann::json& line : _lines)
 		{
-			sort_in(line);
+			classify(line);
 		}
 	}
 
@@ -68,19 +69,19 @@
 	}
 
 private:
-	void sort_in(const nlohmann::json& _line)
+	void classify(const nlohmann::json& _line)
 	{
-		const std::string type = text(_line, "type");
+		const std::string type = text_field(_line, "type");
 		if ("run" == type)
 		{
 			run_line one;
-			one.backend = text(_line, "backend");
-			one.id = text(_line, "id");
-			one.key = text(_line, "key");
-			one.start = number(_line, "start");
-			one.end = number(_line, "end");
-			one.running = static_cast<int>(number(_line, "running"));
-			one.slots = static_cast<int>(number(_line, "slots"));
+			one.backend = text_field(_line, "backend");
+			one.id = text_field(_line, "id");
+			one.key = text_field(_line, "key");
+			one.start = number_field(_line, "start");
+			one.end = number_field(_line, "end");
+			one.running = static_cast<int>(number_field(_line, "running"));
+			one.slots = static_cast<int>(number_field(_line, "slots"));
 			one.service = one.backend.substr(0, one.backend.rfind('-'));
 			m_runs.push_back(one);
 		}
@@ -102,9 +103,9 @@
 		}
 	}
 
-	void add(const std::string& _promise, const std::string& _what)
+	void add_violation(const std::string& _guarantee, const std::string& _what)
 	{
-		m_report.violations.push_back({_promise, _what});
+		m_report.violations.push_back({_guarantee, _what});
 	}
 
 	void check_runs()
@@ -114,7 +115,7 @@
 		{
 			if (one.slots < one.running)
 			{
-				add("over_slots", one.backend + " ran " + std::to_string(one.running) + " at once");
+				add_violation("over_slots", one.backend + " ran " + std::to_string(one.running) + " at once");
 			}
 			m_ran_ids.insert(one.id);
 			if (one.key.empty())
@@ -126,7 +127,7 @@
 			m_key_start[one.key] = m_key_start.end() == it ? one.start : std::min(it->second, one.start);
 			if (2 == m_key_runs[one.key])
 			{
-				add("run_twice", one.key);
+				add_violation("run_twice", one.key);
 			}
 		}
 	}
@@ -136,7 +137,7 @@
 		for (const nlohmann::json& line : m_requests)
 		{
 			++m_report.tries;
-			const std::string outcome = text(line, "outcome");
+			const std::string outcome = text_field(line, "outcome");
 			if ("served" == outcome)
 			{
 				++m_report.served;
@@ -156,48 +157,49 @@
 
 	void check_served(const nlohmann::json& _line)
 	{
-		const std::string id = text(_line, "id");
-		const std::string key = text(_line, "key");
+		const std::string id = text_field(_line, "id");
+		const std::string key = text_field(_line, "key");
 		if (!_line.value("whole", false))
 		{
-			add("cut", id);
+			add_violation("cut", id);
 		}
 		if (!_line.value("own", false))
 		{
-			add("crossed", id);
+			add_violation("crossed", id);
 		}
 		const bool ran = key.empty() ? 0 < m_ran_ids.count(id) : 0 < m_key_runs.count(key);
 		if (!ran)
 		{
-			add("phantom", key.empty() ? id : key);
+			add_violation("phantom", key.empty() ? id : key);
 		}
 	}
 
 	void check_refused(const nlohmann::json& _line)
 	{
-		const std::string id = text(_line, "id");
-		const std::string key = text(_line, "key");
+		const std::string id = text_field(_line, "id");
+		const std::string key = text_field(_line, "key");
 		if (!id.empty() && 0 < m_ran_ids.count(id))
 		{
-			add("false_refusal", id);
+			add_violation("false_refusal", id);
 			return;
 		}
 		const auto it = m_key_start.find(key);
 		const bool was_sent = _line.value("sent", true);
-		if (!key.empty() && was_sent && m_key_start.end() != it && it->second < number(_line, "t1"))
+		if (!key.empty() && was_sent && m_key_start.end() != it && it->second < number_field(_line, "t1"))
 		{
-			add("false_refusal", key);
+			add_violation("false_refusal", key);
 		}
 	}
 
 	void check_regions()
 	{
-		struct edge
+		/// Start (+1) or end (-1) of a run.
+		struct run_boundary
 		{
 			std::int64_t at;
 			int by;
 		};
-		std::map<std::string, std::vector<edge>> edges;
+		std::map<std::string, std::vector<run_boundary>> boundaries;
 		for (const run_line& one : m_runs)
 		{
 			const auto region = m_rules.region_of_backend.find(one.backend);
@@ -206,10 +208,10 @@
 				continue;
 			}
 			const std::string place = one.service + "/" + region->second;
-			edges[place].push_back({one.start, 1});
-			edges[place].push_back({std::max(one.end, one.start), -1});
+			boundaries[place].push_back({one.start, 1});
+			boundaries[place].push_back({std::max(one.end, one.start), -1});
 		}
-		for (auto& [place, list] : edges)
+		for (auto& [place, list] : boundaries)
 		{
 			const auto slots = m_rules.slots_of_region.find(place);
 			if (m_rules.slots_of_region.end() == slots)
@@ -217,13 +219,13 @@
 				continue;
 			}
 			std::sort(list.begin(), list.end(),
-			    [](const edge& _a, const edge& _b)
+			    [](const run_boundary& _a, const run_boundary& _b)
 			    {
 				    return _a.at != _b.at ? _a.at < _b.at : _a.by < _b.by;
 			    });
 			int running = 0;
 			int peak = 0;
-			for (const edge& one : list)
+			for (const run_boundary& one : list)
 			{
 				running += one.by;
 				peak = std::max(peak, running);
@@ -233,7 +235,8 @@
 			const double allowed = slots->second * (m_rules.max_share.end() == share ? 1.0 : share->second);
 			if (allowed + 1e-9 < peak)
 			{
-				add("over_region", place + " ran " + std::to_string(peak) + " of " + std::to_string(allowed));
+				add_violation(
+				    "over_region", place + " ran " + std::to_string(peak) + " of " + std::to_string(allowed));
 			}
 			m_report.headroom_min =
 			    std::min(m_report.headroom_min, 1.0 - static_cast<double>(peak) / slots->second);
@@ -244,17 +247,19 @@
 	{
 		for (const nlohmann::json& order : m_drains)
 		{
-			if ("drain" != text(order, "type"))
+			if ("drain" != text_field(order, "type"))
 			{
 				continue;
 			}
-			const std::string target = text(order, "backend");
-			const std::int64_t from = number(order, "t");
+			const std::string target = text_field(order, "backend");
+			const std::int64_t from = number_field(order, "t");
 			std::int64_t until = INT64_MAX;
 			for (const nlohmann::json& later : m_drains)
 			{
-				const bool ends = "undrain" == text(later, "type") && text(later, "backend") == target;
-				until = ends && from < number(later, "t") ? std::min(until, number(later, "t")) : until;
+				const bool ends =
+				    "undrain" == text_field(later, "type") && text_field(later, "backend") == target;
+				until = ends && from < number_field(later, "t") ? std::min(until, number_field(later, "t"))
+				                                                : until;
 			}
 			m_report.last_new_work_s = std::max(0.0, m_report.last_new_work_s);
 			for (const run_line& one : m_runs)
@@ -267,14 +272,15 @@
 				m_report.last_new_work_s = std::max(m_report.last_new_work_s, after);
 				if (from + m_rules.drain_grace_us < one.start)
 				{
-					add("late_work", target + " got work " + std::to_string(after) + " s after the order");
+					add_violation("late_work", target + " got a request " + std::to_string(after) +
+					                               " s after the drain was ordered");
 				}
 			}
 		}
 	}
 
-	/// Gain of a region: the part of a service's traffic that it ran in a window, less that in the window
-	/// before. Traffic is all that callers sent, refused or not.
+	/// Checks the cap against requests and runs. The gain of a region is the fraction of a service's requests
+	/// that it ran in a window, minus the fraction in the previous window. Refused requests count as sent.
 	void check_caps()
 	{
 		for (const auto& [service, rule] : m_rules.caps)
@@ -291,9 +297,9 @@
 			}
 			for (const nlohmann::json& line : m_requests)
 			{
-				if (text(line, "service") == service)
+				if (text_field(line, "service") == service)
 				{
-					sent.push_back(number(line, "t0"));
+					sent.push_back(number_field(line, "t0"));
 				}
 			}
 			std::sort(sent.begin(), sent.end());
@@ -325,7 +331,7 @@
 		{
 			const double sent_before = count_between(_sent, at - window, at);
 			const double sent_after = count_between(_sent, at, at + window);
-			if (sent_before < k_window_least || sent_after < k_window_least)
+			if (sent_before < k_min_window_requests || sent_after < k_min_window_requests)
 			{
 				continue;
 			}
@@ -333,23 +339,23 @@
 			const double q = std::min(1.0, count_between(_ran, at, at + window) / sent_after);
 			const double noise = std::sqrt(p * (1 - p) / sent_before + q * (1 - q) / sent_after);
 			m_report.max_gain_over_cap = std::max(m_report.max_gain_over_cap, (q - p) / _rule.cap);
-			if (_rule.cap + k_sigmas * noise < q - p)
+			if (_rule.cap + k_noise_sigmas * noise < q - p)
 			{
-				add("cap", _what + " gained " + std::to_string(q - p));
+				add_violation("cap", _what + " gained " + std::to_string(q - p));
 			}
 		}
 	}
 
-	/// Recorded steps: exact, without noise.
+	/// Checks the cap against the steps of shifts that nodes have logged, which are exact.
 	void check_steps()
 	{
 		std::map<std::string, std::vector<const nlohmann::json*>> by_service;
 		for (const nlohmann::json& line : m_events)
 		{
-			const std::string name = text(line, "name");
+			const std::string name = text_field(line, "name");
 			if (("shift_step" == name || "shift_done" == name) && line.contains("shares"))
 			{
-				by_service[text(line, "service")].push_back(&line);
+				by_service[text_field(line, "service")].push_back(&line);
 			}
 		}
 		for (auto& [service, steps] : by_service)
@@ -362,14 +368,15 @@
 			std::sort(steps.begin(), steps.end(),
 			    [](const nlohmann::json* _a, const nlohmann::json* _b)
 			    {
-				    return number(*_a, "t_us") < number(*_b, "t_us");
+				    return number_field(*_a, "t_us") < number_field(*_b, "t_us");
 			    });
 			for (std::size_t late = 0; late < steps.size(); ++late)
 			{
 				for (std::size_t early = late; 0 < early; --early)
 				{
 					const nlohmann::json& before = *steps[early - 1];
-					if (number(before, "t_us") + rule->second.window_us < number(*steps[late], "t_us"))
+					if (number_field(before, "t_us") + rule->second.window_us <
+					    number_field(*steps[late], "t_us"))
 					{
 						break;
 					}
@@ -388,63 +395,64 @@
 			m_report.max_gain_over_cap = std::max(m_report.max_gain_over_cap, gain / _rule.cap);
 			if (_rule.cap + k_share_slack < gain)
 			{
-				add("cap", _service + " step of " + region + " gained " + std::to_string(gain));
+				add_violation("cap", _service + " step of " + region + " gained " + std::to_string(gain));
 			}
 		}
 	}
 
 	void check_configurations()
 	{
-		std::map<std::string, std::uint64_t> last; // node and life to revision
+		std::map<std::string, std::uint64_t> last; // Revision by node, since its last start.
 		std::map<std::string, std::vector<std::pair<std::int64_t, std::uint64_t>>> taken;
 		std::map<std::string, std::int64_t> started;
 		for (const nlohmann::json& line : m_events)
 		{
-			const std::string node = text(line, "node");
-			const std::string name = text(line, "name");
+			const std::string node = text_field(line, "node");
+			const std::string name = text_field(line, "name");
 			if ("node_started" == name)
 			{
 				last[node] = 0;
-				started[node] = number(line, "t_us");
+				started[node] = number_field(line, "t_us");
 			}
 			if ("config_taken" != name)
 			{
 				continue;
 			}
-			const auto revision = static_cast<std::uint64_t>(number(line, "revision"));
+			const auto revision = static_cast<std::uint64_t>(number_field(line, "revision"));
 			if (revision < last[node])
 			{
-				add("reverted",
-				    node + " went from " + std::to_string(last[node]) + " to " + std::to_string(revision));
+				add_violation("reverted", node + " reverted from revision " + std::to_string(last[node]) +
+				                              " to " + std::to_string(revision));
 			}
 			last[node] = revision;
-			taken[node].emplace_back(number(line, "t_us"), revision);
+			taken[node].emplace_back(number_field(line, "t_us"), revision);
 		}
 		for (const nlohmann::json& line : m_events)
 		{
-			if ("config_written" == text(line, "name"))
+			if ("config_written" == text_field(line, "name"))
 			{
-				check_in_force(number(line, "t_us"), static_cast<std::uint64_t>(number(line, "revision")),
-				    taken, started);
+				check_in_force(number_field(line, "t_us"),
+				    static_cast<std::uint64_t>(number_field(line, "revision")), taken, started);
 			}
 		}
 	}
 
-	/// Latest time at which a node must have a configuration: a node that is cut off has its time from then
-	/// on when it is reached again.
-	std::int64_t due_at(const std::string& _node, std::int64_t _written) const
+	/// @returns Time by which a node must have applied a configuration. If the node was partitioned, its
+	/// config_spread_us starts when the partition ends.
+	std::int64_t apply_deadline(const std::string& _node, std::int64_t _written) const
 	{
 		std::int64_t due = _written + m_rules.config_spread_us;
 		bool is_cut = false;
 		for (const nlohmann::json& line : m_cuts)
 		{
-			if (text(line, "vm") != _node || due < number(line, "t"))
+			if (text_field(line, "vm") != _node || due < number_field(line, "t"))
 			{
 				continue;
 			}
-			is_cut = "cut" == text(line, "type");
-			due =
-			    !is_cut && _written < number(line, "t") ? number(line, "t") + m_rules.config_spread_us : due;
+			is_cut = "cut" == text_field(line, "type");
+			due = !is_cut && _written < number_field(line, "t")
+			          ? number_field(line, "t") + m_rules.config_spread_us
+			          : due;
 		}
 		return is_cut ? INT64_MAX : due;
 	}
@@ -459,17 +467,17 @@
 			{
 				continue;
 			}
-			bool there = false;
+			bool applied = false;
 			const auto it = _taken.find(node);
 			for (std::size_t at = 0; _taken.end() != it && at < it->second.size(); ++at)
 			{
-				there = there ||
-				        (_revision <= it->second[at].second && it->second[at].first <= due_at(node, _at));
+				applied = applied || (_revision <= it->second[at].second &&
+				                         it->second[at].first <= apply_deadline(node, _at));
 			}
-			if (!there)
+			if (!applied)
 			{
-				add("not_in_force",
-				    node + " did not take revision " + std::to_string(_revision) + " in time");
+				add_violation("not_in_force",
+				    node + " did not apply revision " + std::to_string(_revision) + " in time");
 			}
 		}
 	}
@@ -487,12 +495,12 @@
 };
 } // namespace
 
-std::size_t check_report::count(const std::string& _promise) const
+std::size_t check_report::count(const std::string& _guarantee) const
 {
 	std::size_t sum = 0;
 	for (const violation& one : violations)
 	{
-		sum += one.promise == _promise ? 1 : 0;
+		sum += one.guarantee == _guarantee ? 1 : 0;
 	}
 	return sum;
 }
@@ -522,6 +530,6 @@
 
 check_report check_history(const std::vector<nlohmann::json>& _lines, const check_rules& _rules)
 {
-	return judge(_lines, _rules).run();
+	return history_checker(_lines, _rules).run();
 }
 } // namespace larkrack
--- a/src/testing/clock_virtual_p.h
+++ b/src/testing/clock_virtual_p.h
@@ -2,21 +2,22 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Time for tests.
+/// Virtual clock for tests.
+/// Owns: its time, which starts about 50 years after the epoch of both clocks.
+/// Relies on: nothing outside base.
 #pragma once
 
 #include "base/clock_p.h"
 
 namespace larkrack
 {
-/// A clock that stands still until it is told to go on.
+/// Clock that only moves when advance() is called.
 class clock_virtual : public clock_base
 {
 public:
 	steady_time steady() const override;
 	wall_time wall() const override;
-	/// Moves both times on.
-	/// @param[in] _by Interval.
+	/// Advances the monotonic and the wall clock.
 	void advance(std::chrono::microseconds _by);
 
 private:
--- a/src/testing/deployment_p.h
+++ b/src/testing/deployment_p.h
@@ -2,8 +2,10 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Description of a deployment for tools: where everything listens and what belongs to what.
-/// Owns: nothing. Relies on: `deployment.json` of an example, which `scripts/make-examples` writes.
+/// Description of a deployment for the tools: addresses of all programs, regions, failure domains and
+/// services.
+/// Owns: no state.
+/// Relies on: `deployment.json` of an example, which `scripts/make-examples` writes.
 #pragma once
 
 #include "base/settings_p.h"
@@ -14,7 +16,7 @@
 
 namespace larkrack
 {
-/// One entry VM, as tools see it.
+/// Entry VM of a deployment.
 struct deployed_vm
 {
 	std::string name;
@@ -24,14 +26,15 @@
 	endpoint operators;
 };
 
-/// One service, as tools see it.
+/// Service of a deployment.
 struct deployed_service
 {
 	std::string name;
-	int backends = 0;
-	int slots = 0; ///< Of each backend server.
+	int backends = 0; ///< Number of backend servers.
+	int slots = 0;    ///< Slots of each backend server.
 };
 
+/// Contents of a deployment file.
 struct deployment
 {
 	std::string name;
@@ -41,14 +44,14 @@
 	std::vector<deployed_vm> entry_vms;
 	std::vector<std::string> regions;
 	std::map<std::string, std::string>
-	    caller_prefix; ///< Region to the first two numbers of its callers' addresses.
+	    caller_prefix; ///< First two numbers of the callers' addresses, by region.
 	std::vector<deployed_service> services;
 	std::map<std::string, std::string> domain_of_backend;
 	std::map<std::string, std::string> region_of_domain;
 
-	/// @returns Region of a backend server, or an empty text.
+	/// @returns Region of a backend server, or an empty string.
 	std::string region_of_backend(const std::string& _backend) const;
-	/// @returns Slots of all backend servers of a service.
+	/// @returns Total number of slots of all backend servers of a service.
 	int slots_of(const std::string& _service) const;
 };
 
--- a/src/testing/fake_backend.cpp
+++ b/src/testing/fake_backend.cpp
@@ -11,8 +11,10 @@
 {
 namespace
 {
+/// Factor on the service time while the server is cold.
 constexpr double k_cold_factor = 5.0;
-constexpr std::size_t k_cancelled_kept = 20000;
+/// Number of cancelled request ids at which the set of ids is cleared.
+constexpr std::size_t k_max_cancelled_ids = 20000;
 
 std::int64_t number_or(const std::string& _text, std::int64_t _default)
 {
@@ -41,8 +43,8 @@
 void fake_backend::set_faults(const nlohmann::json& _faults)
 {
 	m_faults.shed_share = _faults.value("shed_share", m_faults.shed_share);
-	m_faults.slow = _faults.value("slow", m_faults.slow);
-	m_faults.lie = _faults.value("lie", m_faults.lie);
+	m_faults.slow_factor = _faults.value("slow", m_faults.slow_factor);
+	m_faults.reported_load = _faults.value("lie", m_faults.reported_load);
 	m_faults.dead = _faults.value("dead", m_faults.dead);
 	m_faults.cut_share = _faults.value("cut_share", m_faults.cut_share);
 	m_faults.cold_requests = _faults.value("cold_requests", m_faults.cold_requests);
@@ -53,7 +55,7 @@
 	return {{"name", m_options.name}, {"running", m_running}, {"total", m_total}};
 }
 
-double fake_backend::chance()
+double fake_backend::draw_fraction()
 {
 	return std::uniform_real_distribution<double>(0.0, 1.0)(m_random);
 }
@@ -79,7 +81,7 @@
 	{
 		handle_cancel(_session, path.substr(std::strlen(k_cancel)), _yield);
 	}
-	else if (!refuses(_session, _request, _yield))
+	else if (!shed_if_needed(_session, _request, _yield))
 	{
 		serve(_session, _request, _yield);
 	}
@@ -88,7 +90,7 @@
 void fake_backend::handle_load(http_session& _session, const yield_context& _yield)
 {
 	const double true_load = static_cast<double>(m_running) / m_options.slots;
-	const double load = m_faults.lie < 0.0 ? true_load : m_faults.lie;
+	const double load = m_faults.reported_load < 0.0 ? true_load : m_faults.reported_load;
 	const nlohmann::json body = {{"running", m_running}, {"slots", m_options.slots}, {"load", load},
 	    {"cold", 0 < m_faults.cold_requests}};
 	http_response response = make_json(http::status::ok, body.dump());
@@ -104,10 +106,10 @@
 		const run_ptr found = it->second;
 		found->cancelled = true;
 		found->timer.cancel();
-		// The answer says that the slot is free, so it waits for that.
-		end(found);
+		// The response states that the slot is free, so the run is finished first.
+		finish_run(found);
 	}
-	if (k_cancelled_kept < m_cancelled.size())
+	if (k_max_cancelled_ids < m_cancelled.size())
 	{
 		m_cancelled.clear();
 	}
@@ -117,7 +119,7 @@
 	_session.send(response, _yield);
 }
 
-void fake_backend::refuse(
+void fake_backend::send_shed_response(
     http_session& _session, http::status _status, const char* _why, const yield_context& _yield)
 {
 	http_response response = make_json(_status, nlohmann::json({{"refused", _why}}).dump());
@@ -125,23 +127,24 @@
 	_session.send(response, _yield);
 }
 
-bool fake_backend::refuses(http_session& _session, const http_request& _request, const yield_context& _yield)
+bool fake_backend::shed_if_needed(
+    http_session& _session, const http_request& _request, const yield_context& _yield)
 {
 	const std::string id = header_of(_request, k_header_request_id);
 	const std::int64_t expires = number_or(header_of(_request, k_header_expires), INT64_MAX);
 	if (expires <= to_us(m_clock.wall()))
 	{
-		refuse(_session, http::status::gateway_timeout, "deadline", _yield);
+		send_shed_response(_session, http::status::gateway_timeout, "deadline", _yield);
 		return true;
 	}
 	if (0 < m_cancelled.count(id))
 	{
-		refuse(_session, http::status::conflict, "cancelled", _yield);
+		send_shed_response(_session, http::status::conflict, "cancelled", _yield);
 		return true;
 	}
-	if (0.0 < m_faults.shed_share && chance() < m_faults.shed_share)
+	if (0.0 < m_faults.shed_share && draw_fraction() < m_faults.shed_share)
 	{
-		refuse(_session, http::status::service_unavailable, "shedding", _yield);
+		send_shed_response(_session, http::status::service_unavailable, "shedding", _yield);
 		return true;
 	}
 	return false;
@@ -159,26 +162,26 @@
 	one->running = ++m_running;
 	++m_total;
 	m_active[one->id] = one;
-	// Above its slots it slows down for everybody: that is what makes it fragile.
-	double factor = m_faults.slow * std::max(1.0, static_cast<double>(m_running) / m_options.slots);
+	// With more running requests than slots, every request slows down, so that overload makes itself worse.
+	double factor = m_faults.slow_factor * std::max(1.0, static_cast<double>(m_running) / m_options.slots);
 	if (0 < m_faults.cold_requests)
 	{
 		--m_faults.cold_requests;
 		factor *= k_cold_factor;
 	}
 	const double time_us = factor * static_cast<double>(number_or(query_value(target, "work_us"), 1000));
-	work(*one, std::chrono::microseconds(static_cast<std::int64_t>(time_us)), _yield);
+	wait_service_time(*one, std::chrono::microseconds(static_cast<std::int64_t>(time_us)), _yield);
 	if (one->cancelled || one->expires <= to_us(m_clock.wall()))
 	{
-		end(one);
+		finish_run(one);
 		_session.close();
 		return;
 	}
-	answer(_session, _request, one, _yield);
-	end(one);
+	send_response(_session, _request, one, _yield);
+	finish_run(one);
 }
 
-void fake_backend::work(run& _run, std::chrono::microseconds _time, const yield_context& _yield)
+void fake_backend::wait_service_time(run& _run, std::chrono::microseconds _time, const yield_context& _yield)
 {
 	const std::int64_t left = std::max<std::int64_t>(0, _run.expires - to_us(m_clock.wall()));
 	_run.timer.expires_after(std::min(_time, std::chrono::microseconds(left)));
@@ -186,13 +189,13 @@
 	_run.timer.async_wait(_yield[ignored]);
 }
 
-void fake_backend::answer(
+void fake_backend::send_response(
     http_session& _session, const http_request& _request, const run_ptr& _run, const yield_context& _yield)
 {
 	const std::string target(_request.target());
 	const auto size = static_cast<std::uint64_t>(number_or(query_value(target, "bytes"), 200));
 	const std::string object = query_value(target, "object");
-	const std::string owner = object.empty() ? _run->id : object;
+	const std::string content = object.empty() ? _run->id : object;
 	http::response<http::buffer_body> head(http::status::ok, 11);
 	head.set(http::field::content_type, "application/octet-stream");
 	head.set(k_header_backend, m_options.name);
@@ -202,14 +205,14 @@
 		head.set(http::field::etag, "\"" + object + "\"");
 	}
 	head.content_length(size);
-	const body_pattern pattern(owner);
-	const bool cut = 0.0 < m_faults.cut_share && chance() < m_faults.cut_share;
+	const body_pattern pattern(content);
+	const bool cut = 0.0 < m_faults.cut_share && draw_fraction() < m_faults.cut_share;
 	std::vector<char> piece(std::min<std::uint64_t>(size, k_piece));
 	std::uint64_t sent = 0;
 	bool open = true;
 	if (size <= k_piece && !cut)
 	{
-		end(_run);
+		finish_run(_run);
 	}
 	open = _session.send_head(head, _yield);
 	while (open && sent < size && !_run->cancelled)
@@ -219,7 +222,7 @@
 		sent += part;
 		if (sent == size)
 		{
-			end(_run);
+			finish_run(_run);
 		}
 		if (cut && size / 2 <= sent)
 		{
@@ -235,7 +238,7 @@
 	_session.send_end(_yield);
 }
 
-void fake_backend::end(const run_ptr& _run)
+void fake_backend::finish_run(const run_ptr& _run)
 {
 	if (_run->ended)
 	{
--- a/src/testing/fake_backend_p.h
+++ b/src/testing/fake_backend_p.h
@@ -2,9 +2,10 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// The backend server stand-in: slots, connections, cold start, shedding, cancellation, deadlines, and a log
-/// of runs.
-/// Owns: its runs in flight and its faults. Relies on: a history that takes a line for each run.
+/// Fake backend server with slots, a connection limit, cold start, load shedding, cancellation and deadlines.
+/// It writes a log of its runs.
+/// Owns: its running requests and its faults.
+/// Relies on: a history that takes a line for each run.
 #pragma once
 
 #include "base/http_p.h"
@@ -18,28 +19,28 @@
 
 namespace larkrack
 {
-/// Faults of one backend server.
+/// Injected faults of one backend server.
 struct backend_faults
 {
-	double shed_share = 0.0; ///< Part of requests that it refuses before running them.
-	double slow = 1.0;       ///< Factor on its service time.
-	double lie = -1.0;       ///< Load that it reports instead of the true one; negative: the truth.
-	bool dead = false;       ///< Connections are closed at once.
-	double cut_share = 0.0;  ///< Part of answers that break off.
-	int cold_requests = 0;   ///< Requests until it is warm.
+	double shed_share = 0.0;     ///< Fraction of requests that are shed without running them.
+	double slow_factor = 1.0;    ///< Factor on the service time.
+	double reported_load = -1.0; ///< Load that is reported instead of the actual load; negative: none.
+	bool dead = false;           ///< Connections are closed without a response.
+	double cut_share = 0.0;      ///< Fraction of responses that are truncated.
+	int cold_requests = 0;       ///< Number of requests until the server is warm.
 };
 
-/// What it is told at the start.
+/// Startup options of a fake backend server.
 struct fake_backend_options
 {
 	std::string name;
 	endpoint address;
 	int slots = 3;
-	int connections = 330;
-	std::chrono::microseconds connect_cost{1000};
+	int connections = 330;                        ///< Maximum number of open connections.
+	std::chrono::microseconds connect_cost{1000}; ///< Delay of the first request of a connection.
 };
 
-/// One backend server. Runs on one thread.
+/// Fake backend server. Not thread-safe.
 class fake_backend
 {
 public:
@@ -54,11 +55,13 @@
 	{
 		return m_options.name;
 	}
+	/// Sets faults from JSON; missing fields keep their values.
 	void set_faults(const nlohmann::json& _faults);
 	/// @returns Counters since the start.
 	nlohmann::json counts() const;
 
 private:
+	/// One request while it runs. Times in microseconds since 1970.
 	struct run
 	{
 		explicit run(const asio::any_io_executor& _executor) : timer(_executor)
@@ -69,7 +72,7 @@
 		std::string kind;
 		std::int64_t start = 0;
 		std::int64_t expires = 0;
-		int running = 0;
+		int running = 0; ///< Number of running requests at the start, including this one.
 		bool cancelled = false;
 		bool ended = false;
 		asio::steady_timer timer;
@@ -79,14 +82,21 @@
 	void handle(http_session& _session, http_request& _request, const yield_context& _yield);
 	void handle_load(http_session& _session, const yield_context& _yield);
 	void handle_cancel(http_session& _session, const std::string& _id, const yield_context& _yield);
-	void refuse(http_session& _session, http::status _status, const char* _why, const yield_context& _yield);
-	bool refuses(http_session& _session, const http_request& _request, const yield_context& _yield);
+	void send_shed_response(
+	    http_session& _session, http::status _status, const char* _why, const yield_context& _yield);
+	/// Sheds a request that is expired or cancelled, or that the shedding fault selects.
+	/// @returns Whether a response was sent.
+	bool shed_if_needed(http_session& _session, const http_request& _request, const yield_context& _yield);
 	void serve(http_session& _session, const http_request& _request, const yield_context& _yield);
-	void work(run& _run, std::chrono::microseconds _time, const yield_context& _yield);
-	void answer(http_session& _session, const http_request& _request, const run_ptr& _run,
+	/// Waits for the service time, or until the run expires or is cancelled.
+	void wait_service_time(run& _run, std::chrono::microseconds _time, const yield_context& _yield);
+	/// Sends the response, and finishes the run before its last bytes are sent.
+	void send_response(http_session& _session, const http_request& _request, const run_ptr& _run,
 	    const yield_context& _yield);
-	void end(const run_ptr& _run);
-	double chance();
+	/// Frees the slot and writes the run to the log. Later calls for the same run have no effect.
+	void finish_run(const run_ptr& _run);
+	/// @returns A random number between 0 and 1.
+	double draw_fraction();
 
 	asio::io_context& m_context;
 	fake_backend_options m_options;
--- a/src/testing/fake_platform.cpp
+++ b/src/testing/fake_platform.cpp
@@ -7,8 +7,8 @@
 {
 namespace
 {
-constexpr std::chrono::milliseconds k_watch_poll{2};
-constexpr std::chrono::milliseconds k_lease_poll{20};
+constexpr std::chrono::milliseconds k_watch_poll_interval{2};
+constexpr std::chrono::milliseconds k_lease_poll_interval{20};
 
 nlohmann::json to_json(const store_value& _value)
 {
@@ -52,17 +52,17 @@
 	start(m_context,
 	    [this](const yield_context& _yield)
 	    {
-		    run_leases(_yield);
+		    expire_leases(_yield);
 	    });
 	return m_server.listen(_endpoint);
 }
 
-void fake_platform::run_leases(const yield_context& _yield)
+void fake_platform::expire_leases(const yield_context& _yield)
 {
 	while (true)
 	{
 		m_engine.tick(m_clock.steady());
-		sleep_for(m_context.get_executor(), k_lease_poll, _yield);
+		sleep_for(m_context.get_executor(), k_lease_poll_interval, _yield);
 	}
 }
 
@@ -111,7 +111,7 @@
 	}
 	if ("/vms" == path)
 	{
-		http_response list = make_json(http::status::ok, shown_vms().dump());
+		http_response list = make_json(http::status::ok, vm_list().dump());
 		_session.send(list, _yield);
 		return;
 	}
@@ -244,12 +244,12 @@
 			    nlohmann::json({{"result", {{"header", at}, {"events", events}}}}).dump() + "\n";
 			open = open && _session.send_piece(line.data(), line.size(), _yield);
 		}
-		sleep_for(m_context.get_executor(), k_watch_poll, _yield);
+		sleep_for(m_context.get_executor(), k_watch_poll_interval, _yield);
 	}
 	_session.close();
 }
 
-nlohmann::json fake_platform::shown_vms() const
+nlohmann::json fake_platform::vm_list() const
 {
 	nlohmann::json list = nlohmann::json::array();
 	for (const auto& [name, vm] : m_vms.items())
--- a/src/testing/history_p.h
+++ b/src/testing/history_p.h
@@ -2,8 +2,10 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Histories: one JSON object a line, written by callers and by backend servers, read by larkrack-check.
-/// Owns: the file that it writes. Relies on: nothing. A file that can not be opened reads as empty.
+/// History files with one JSON object per line. Callers and backend servers write them; larkrack-check reads
+/// them.
+/// Owns: the file that is written.
+/// Relies on: nothing of larkrack. A file that cannot be opened reads as empty.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -14,11 +16,11 @@
 
 namespace larkrack
 {
-/// Appends lines to a file. One thread.
+/// Appends lines to a file. Not thread-safe.
 class history_writer
 {
 public:
-	/// @param[in] _path File to write anew; empty: nothing is written.
+	/// @param[in] _path File to create or overwrite; empty: nothing is written.
 	explicit history_writer(const std::string& _path);
 	void write(const nlohmann::json& _line);
 	void flush();
@@ -27,6 +29,6 @@
 	std::ofstream m_file;
 };
 
-/// @returns All lines of a file. A last line that was cut short is left out.
+/// @returns All lines of a file that are JSON objects; a truncated last line is skipped.
 std::vector<nlohmann::json> read_history(const std::string& _path);
 } // namespace larkrack
--- a/src/testing/pattern.cpp
+++ b/src/testing/pattern.cpp
@@ -12,8 +12,10 @@
 {
 namespace
 {
-constexpr std::size_t k_words = 509; ///< A prime, so that lost pieces of round sizes shift the text.
-}
+/// Length of the period in 64-bit words. It is prime, so that a lost part whose size is a power of two or a
+/// round number shifts the pattern and is detected.
+constexpr std::size_t k_words = 509;
+} // namespace
 
 body_pattern::body_pattern(const std::string& _name)
 {
--- a/src/testing/pattern_p.h
+++ b/src/testing/pattern_p.h
@@ -2,8 +2,9 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Bodies whose every byte tells whose they are, so that callers notice bytes of another answer.
-/// Owns: one period of the text. Relies on: xxhash, the same on both sides.
+/// Generated response bodies that differ for each name, so that callers detect bytes of another response.
+/// Owns: one period of the pattern.
+/// Relies on: xxhash, with the same result for backend server and caller.
 #pragma once
 
 #include <cstddef>
@@ -12,14 +13,14 @@
 
 namespace larkrack
 {
-/// Endless text that differs for each name.
+/// Unlimited sequence of bytes, determined by a name.
 class body_pattern
 {
 public:
 	explicit body_pattern(const std::string& _name);
-	/// Writes bytes from an offset on.
+	/// Writes the bytes of the pattern that start at an offset.
 	void fill(char* _out, std::size_t _size, std::uint64_t _offset) const;
-	/// @returns Whether bytes at an offset are these.
+	/// @returns Whether the data equals the pattern at an offset.
 	bool matches(const char* _data, std::size_t _size, std::uint64_t _offset) const;
 
 private:
--- a/src/testing/store_engine.cpp
+++ b/src/testing/store_engine.cpp
@@ -39,8 +39,8 @@
 	for (const store_compare& condition : _conditions)
 	{
 		const auto it = m_values.find(condition.key);
-		const std::int64_t is = m_values.end() == it ? 0 : it->second.mod_revision;
-		reply.succeeded = reply.succeeded && is == condition.mod_revision;
+		const std::int64_t current = m_values.end() == it ? 0 : it->second.mod_revision;
+		reply.succeeded = reply.succeeded && current == condition.mod_revision;
 	}
 	for (const store_write& write : _writes)
 	{
@@ -96,7 +96,7 @@
 	{
 		return std::chrono::seconds(0);
 	}
-	it->second.ends = _now + it->second.ttl;
+	it->second.expires_at = _now + it->second.ttl;
 	return it->second.ttl;
 }
 
@@ -119,15 +119,15 @@
 
 void store_engine::tick(steady_time _now)
 {
-	std::vector<std::int64_t> lapsed;
+	std::vector<std::int64_t> expired;
 	for (const auto& [id, lease] : m_leases)
 	{
-		if (lease.ends <= _now)
+		if (lease.expires_at <= _now)
 		{
-			lapsed.push_back(id);
+			expired.push_back(id);
 		}
 	}
-	for (const std::int64_t id : lapsed)
+	for (const std::int64_t id : expired)
 	{
 		lease_revoke(id);
 	}
--- a/src/testing/store_engine_p.h
+++ b/src/testing/store_engine_p.h
@@ -2,41 +2,42 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// The platform's key-value service without any transport: the heart of the platform stand-in and of the
-/// store in memory.
-/// Owns: values, leases and the log of changes. Relies on: the caller for the time. One thread.
+/// In-memory implementation of the platform's key-value service, without a transport. fake_platform and
+/// store_memory use it.
+/// Owns: values, leases and the log of changes.
+/// Relies on: the caller, which passes the current time. Not thread-safe.
 #pragma once
 
 #include "store/store_p.h"
 
 namespace larkrack
 {
-/// Data and rules of the key-value service.
+/// Data and semantics of the key-value service.
 class store_engine
 {
 public:
-	/// @param[in] _prefix Whether all keys that start with the key are meant.
+	/// @param[in] _prefix Whether to return all keys that start with the key.
 	std::vector<store_value> range(const std::string& _key, bool _prefix) const;
 	txn_reply txn(const std::vector<store_compare>& _conditions, const std::vector<store_write>& _writes);
 	std::int64_t lease_grant(std::chrono::seconds _ttl, steady_time _now);
-	/// @returns Time to live; 0 when there is no such lease.
+	/// @returns Time to live; 0 when the lease does not exist.
 	std::chrono::seconds lease_keep_alive(std::int64_t _id, steady_time _now);
 	void lease_revoke(std::int64_t _id);
-	/// Removes leases that have lapsed, and their keys.
+	/// Removes expired leases and their keys.
 	void tick(steady_time _now);
-	/// @returns Revision of the newest change.
+	/// @returns Revision of the latest change.
 	std::int64_t revision() const
 	{
 		return m_revision;
 	}
-	/// @returns Changes from a revision on.
+	/// @returns Changes to keys with a prefix, from a revision (inclusive) on.
 	std::vector<watch_batch> changes(const std::string& _prefix, std::int64_t _from) const;
 
 private:
 	struct lease
 	{
 		std::chrono::seconds ttl{0};
-		steady_time ends{};
+		steady_time expires_at{};
 	};
 	void apply(const std::vector<store_write>& _writes);
 
--- a/src/testing/store_memory.cpp
+++ b/src/testing/store_memory.cpp
@@ -7,7 +7,7 @@
 {
 namespace
 {
-constexpr std::chrono::milliseconds k_watch_poll{1};
+constexpr std::chrono::milliseconds k_watch_poll_interval{1};
 }
 
 range_reply store_memory::range(const char* _use, const std::string& _key, bool _prefix, const yield_context&)
@@ -84,7 +84,7 @@
 				return watch_end::stopped;
 			}
 		}
-		sleep_for(asio::get_associated_executor(_yield), k_watch_poll, _yield);
+		sleep_for(asio::get_associated_executor(_yield), k_watch_poll_interval, _yield);
 	}
 	return watch_end::broken;
 }
--- a/src/testing/store_memory_p.h
+++ b/src/testing/store_memory_p.h
@@ -2,15 +2,16 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// The platform's key-value service in the same process, for tests.
-/// Owns: its faults. Relies on: a store engine, which several stores may share. One thread.
+/// Store client that calls a store engine in the same process, for tests.
+/// Owns: its faults.
+/// Relies on: a store engine, which several clients may share. Not thread-safe.
 #pragma once
 
 #include "testing/store_engine_p.h"
 
 namespace larkrack
 {
-/// A store in the same process.
+/// Store client without a network.
 class store_memory : public store_base
 {
 public:
@@ -28,8 +29,8 @@
 	watch_end watch(const char* _use, const std::string& _prefix, std::int64_t _from,
 	    const std::function<bool(const watch_batch&)>& _on_batch, const yield_context& _yield) override;
 
-	bool down = false;    ///< Calls end as not done.
-	int lose_answers = 0; ///< So many next writes take effect and end as unsure.
+	bool down = false;    ///< Calls return not_done.
+	int lose_answers = 0; ///< Number of next transactions that take effect but return unsure.
 
 private:
 	store_engine& m_engine;
--- a/tests/checker_test.cpp
+++ b/tests/checker_test.cpp
@@ -2,7 +2,7 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// The checker itself: a good history passes, and one that breaks a promise is caught.
+/// Tests of the history checker: a valid history passes, and each kind of violation is reported.
 
 #include "fixtures.h"
 
@@ -61,11 +61,11 @@
 	}
 
 private:
-	void expect(const std::string& _promise)
+	void expect(const std::string& _guarantee)
 	{
 		const check_report report = check_history(m_lines, m_rules);
-		CPPUNIT_ASSERT_MESSAGE(_promise, 0 < report.count(_promise));
-		CPPUNIT_ASSERT_EQUAL(report.violations.size(), report.count(_promise));
+		CPPUNIT_ASSERT_MESSAGE(_guarantee, 0 < report.count(_guarantee));
+		CPPUNIT_ASSERT_EQUAL(report.violations.size(), report.count(_guarantee));
 	}
 
 	check_rules m_rules;
--- a/tests/fixtures.h
+++ b/tests/fixtures.h
@@ -2,7 +2,10 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// What several fixtures use.
+/// Helpers for several test fixtures: running an I/O context until a condition holds, and a small
+/// configuration.
+/// Owns: no state.
+/// Relies on: the configuration format of larkrackd.
 #pragma once
 
 #include "base/http_p.h"
@@ -17,11 +20,12 @@
 
 namespace larkrack
 {
-/// Runs handlers until something holds. Never waits for elapsed time.
+/// Runs handlers of an I/O context until a condition holds. Independent of elapsed time, so there is no
+/// timeout.
 template <typename Predicate>
-void run_until(asio::io_context& _context, Predicate _holds)
+void run_until(asio::io_context& _context, Predicate _condition)
 {
-	while (!_holds())
+	while (!_condition())
 	{
 		_context.run_one();
 	}
@@ -33,7 +37,8 @@
 	_state.resources[_key] = {_spec.dump(), _state.rev, "test"};
 }
 
-/// Three regions with one failure domain and one entry VM each, one service with a backend server in each.
+/// @returns A configuration of three regions with one failure domain and one entry VM each, and one service
+/// with a backend server in each region.
 inline config_state small_configuration(std::uint64_t _revision = 1)
 {
 	config_state state;
--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -2,7 +2,8 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Bad input gets a clear 4xx, and harms no other caller.
+/// HTTP server, query strings and trace headers: an invalid request gets a 4xx status and does not affect
+/// other callers.
 
 #include "fixtures.h"
 
@@ -21,9 +22,9 @@
 	CPPUNIT_TEST(request_when_body_too_large_is_refused);
 	CPPUNIT_TEST(request_when_not_http_is_refused);
 	CPPUNIT_TEST(request_when_another_stalls_is_still_answered);
-	CPPUNIT_TEST(query_when_coded_is_decoded);
+	CPPUNIT_TEST(query_when_percent_encoded_is_decoded);
 	CPPUNIT_TEST(traceparent_when_sampled_makes_child_span);
-	CPPUNIT_TEST(traceparent_when_foreign_is_ignored);
+	CPPUNIT_TEST(traceparent_when_malformed_is_ignored);
 	CPPUNIT_TEST(spans_when_queue_is_full_are_dropped_and_counted);
 	CPPUNIT_TEST_SUITE_END();
 
@@ -34,17 +35,18 @@
 		    [this](http_session& _session, http_request&, const yield_context& _yield)
 		    {
 			    ++m_handled;
-			    http_response answer = make_json(http::status::ok, "{}");
-			    _session.send(answer, _yield);
+			    http_response response = make_json(http::status::ok, "{}");
+			    _session.send(response, _yield);
 		    });
 		m_server->listen({"127.0.0.1", 0});
 	}
 
 private:
-	/// Sends bytes and reads until the other side closes, or has answered.
+	/// Sends raw bytes and reads until the server closes the connection or has sent the headers of a
+	/// response.
 	std::string exchange(const std::string& _bytes)
 	{
-		std::string answer;
+		std::string response;
 		bool ended = false;
 		start(m_context,
 		    [&](const yield_context& _yield)
@@ -54,7 +56,7 @@
 			    socket.async_connect(
 			        tcp::endpoint(asio::ip::make_address("127.0.0.1"), m_server->port()), _yield[failure]);
 			    asio::async_write(socket, asio::buffer(_bytes), _yield[failure]);
-			    asio::async_read_until(socket, asio::dynamic_buffer(answer), "\r\n\r\n", _yield[failure]);
+			    asio::async_read_until(socket, asio::dynamic_buffer(response), "\r\n\r\n", _yield[failure]);
 			    ended = true;
 		    });
 		run_until(m_context,
@@ -62,14 +64,14 @@
 		    {
 			    return ended;
 		    });
-		return answer;
+		return response;
 	}
 
 	void expect_refused(const std::string& _bytes, const std::string& _status)
 	{
-		const std::string answer = exchange(_bytes);
-		CPPUNIT_ASSERT_MESSAGE(answer, 0 == answer.rfind("HTTP/1.1 " + _status, 0));
-		CPPUNIT_ASSERT(std::string::npos != answer.find("Larkrack-Outcome: not_run"));
+		const std::string response = exchange(_bytes);
+		CPPUNIT_ASSERT_MESSAGE(response, 0 == response.rfind("HTTP/1.1 " + _status, 0));
+		CPPUNIT_ASSERT(std::string::npos != response.find("Larkrack-Outcome: not_run"));
 		CPPUNIT_ASSERT_EQUAL(0, m_handled);
 	}
 
@@ -117,7 +119,7 @@
 		CPPUNIT_ASSERT_EQUAL(
 		    std::size_t{0}, exchange("GET / HTTP/1.1\r\nHost: a\r\n\r\n").rfind("HTTP/1.1 200", 0));
 	}
-	void query_when_coded_is_decoded()
+	void query_when_percent_encoded_is_decoded()
 	{
 		CPPUNIT_ASSERT_EQUAL(std::string("a b/c"), query_value("/x?n=1&v=a%20b%2fc", "v"));
 		CPPUNIT_ASSERT_EQUAL(std::string(), query_value("/x?n=1", "v"));
@@ -137,7 +139,7 @@
 		const nlohmann::json& written = out["resourceSpans"][0]["scopeSpans"][0]["spans"][0];
 		CPPUNIT_ASSERT_EQUAL(std::string("b7ad6b7169203331"), written["parentSpanId"].get<std::string>());
 	}
-	void traceparent_when_foreign_is_ignored()
+	void traceparent_when_malformed_is_ignored()
 	{
 		const auto tracer = std::make_shared<tracer_otlp>("node", 0.0);
 		std::string child;
--- a/tests/main.cpp
+++ b/tests/main.cpp
@@ -2,7 +2,7 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Runs all fixtures, or those whose names contain one of the arguments; that none does is a failure.
+/// Runs all test fixtures, or those whose names contain one of the arguments. Fails when no fixture matches.
 
 #include "larkrackd/log_p.h"
 
@@ -21,8 +21,8 @@
 
 namespace
 {
-/// @returns Whether a fixture was asked for: one of the arguments is part of its name, or there are none.
-bool is_asked_for(const std::string& _fixture, const std::vector<std::string>& _arguments)
+/// @returns Whether to run a fixture: its name contains one of the arguments, or there are no arguments.
+bool is_selected(const std::string& _fixture, const std::vector<std::string>& _arguments)
 {
 	return _arguments.empty() || std::any_of(_arguments.begin(), _arguments.end(),
 	                                 [&_fixture](const std::string& _one)
@@ -43,7 +43,7 @@
 	for (int at = 0; at < all->getChildTestCount(); ++at)
 	{
 		CppUnit::Test* fixture = all->getChildTestAt(at);
-		if (is_asked_for(fixture->getName(), asked))
+		if (is_selected(fixture->getName(), asked))
 		{
 			fixture->run(&result);
 		}
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -2,7 +2,8 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// The platform: engine, client over HTTP against the stand-in, and what is agreed through it.
+/// Key-value store: the in-memory engine, the HTTP client against the fake platform, and platform_sync,
+/// through which nodes agree on configuration, ownership records and leases.
 
 #include "fixtures.h"
 
@@ -21,20 +22,20 @@
 	CPPUNIT_TEST(call_over_http_when_platform_answers_is_done);
 	CPPUNIT_TEST(call_over_http_when_outage_is_not_done);
 	CPPUNIT_TEST(write_over_http_when_answer_lost_is_unsure);
-	CPPUNIT_TEST(watch_over_http_when_key_changes_tells);
+	CPPUNIT_TEST(watch_over_http_when_key_changes_delivers_change);
 	CPPUNIT_TEST(operators_when_racing_one_gets_conflict);
-	CPPUNIT_TEST(operator_when_answer_lost_learns_the_truth);
+	CPPUNIT_TEST(operator_when_answer_lost_gets_actual_result);
 	CPPUNIT_TEST(operator_when_platform_down_changes_nothing);
 	CPPUNIT_TEST(operator_when_policy_invalid_changes_nothing);
 	CPPUNIT_TEST(platform_when_older_is_restored_and_node_does_not_revert);
 	CPPUNIT_TEST(record_when_two_write_only_one_wins);
-	CPPUNIT_TEST(driver_lease_when_holder_is_away_passes_on);
+	CPPUNIT_TEST(driver_lease_when_holder_is_away_is_taken_over);
 	CPPUNIT_TEST_SUITE_END();
 
-	/// A node's part of the platform, without the rest of the node.
-	struct party
+	/// Store client and platform_sync of a node, without the rest of the node.
+	struct sync_node
 	{
-		party(asio::io_context& _context, store_engine& _engine, const clock_base& _clock,
+		sync_node(asio::io_context& _context, store_engine& _engine, const clock_base& _clock,
 		    const std::string& _name)
 		{
 			auto memory = std::make_unique<store_memory>(_engine, _clock);
@@ -46,7 +47,7 @@
 			services.add(std::move(own));
 			services.init();
 		}
-		~party()
+		~sync_node()
 		{
 			services.shutdown();
 		}
@@ -186,7 +187,7 @@
 		    });
 	}
 
-	void watch_over_http_when_key_changes_tells()
+	void watch_over_http_when_key_changes_delivers_change()
 	{
 		fake_platform platform(m_context);
 		platform.init({"127.0.0.1", 0});
@@ -218,8 +219,8 @@
 
 	void operators_when_racing_one_gets_conflict()
 	{
-		party one(m_context, m_engine, m_clock, "one");
-		party two(m_context, m_engine, m_clock, "two");
+		sync_node one(m_context, m_engine, m_clock, "one");
+		sync_node two(m_context, m_engine, m_clock, "two");
 		run(
 		    [&](const yield_context& _yield)
 		    {
@@ -236,9 +237,9 @@
 		    });
 	}
 
-	void operator_when_answer_lost_learns_the_truth()
+	void operator_when_answer_lost_gets_actual_result()
 	{
-		party one(m_context, m_engine, m_clock, "one");
+		sync_node one(m_context, m_engine, m_clock, "one");
 		run(
 		    [&](const yield_context& _yield)
 		    {
@@ -253,7 +254,7 @@
 
 	void operator_when_platform_down_changes_nothing()
 	{
-		party one(m_context, m_engine, m_clock, "one");
+		sync_node one(m_context, m_engine, m_clock, "one");
 		run(
 		    [&](const yield_context& _yield)
 		    {
@@ -266,7 +267,7 @@
 
 	void operator_when_policy_invalid_changes_nothing()
 	{
-		party one(m_context, m_engine, m_clock, "one");
+		sync_node one(m_context, m_engine, m_clock, "one");
 		run(
 		    [&](const yield_context& _yield)
 		    {
@@ -281,7 +282,7 @@
 
 	void platform_when_older_is_restored_and_node_does_not_revert()
 	{
-		party one(m_context, m_engine, m_clock, "one");
+		sync_node one(m_context, m_engine, m_clock, "one");
 		run(
 		    [&](const yield_context& _yield)
 		    {
@@ -301,8 +302,8 @@
 
 	void record_when_two_write_only_one_wins()
 	{
-		party one(m_context, m_engine, m_clock, "one");
-		party two(m_context, m_engine, m_clock, "two");
+		sync_node one(m_context, m_engine, m_clock, "one");
+		sync_node two(m_context, m_engine, m_clock, "two");
 		run(
 		    [&](const yield_context& _yield)
 		    {
@@ -333,10 +334,10 @@
 		    });
 	}
 
-	void driver_lease_when_holder_is_away_passes_on()
+	void driver_lease_when_holder_is_away_is_taken_over()
 	{
-		party one(m_context, m_engine, m_clock, "one");
-		party two(m_context, m_engine, m_clock, "two");
+		sync_node one(m_context, m_engine, m_clock, "one");
+		sync_node two(m_context, m_engine, m_clock, "two");
 		run(
 		    [&](const yield_context& _yield)
 		    {
@@ -345,7 +346,7 @@
 			    m_clock.advance(std::chrono::seconds(6));
 			    m_engine.tick(m_clock.steady());
 			    CPPUNIT_ASSERT(two.sync->hold_driver_lease(_yield));
-			    // The former holder wakes up and is told.
+			    // The former holder comes back and does not get the lease.
 			    CPPUNIT_ASSERT(!one.sync->hold_driver_lease(_yield));
 		    });
 	}
--- a/tools/larkrack.cpp
+++ b/tools/larkrack.cpp
@@ -2,8 +2,9 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Command-line client for operators: flags, usage, and which command is meant. The commands are in
-/// larkrack_*.cpp beside this file. The flags stand here because --help shows those of this file only.
+/// larkrack: command-line client for operators. This file has the flags, the usage text and the dispatch; the
+/// commands, declared in larkrack_p.h, are in larkrack_changes.cpp, larkrack_documents.cpp and
+/// larkrack_views.cpp. The flags are defined here because --help only shows those of the file with main().
 #include "larkrack_p.h"
 
 #include <absl/flags/parse.h>
@@ -51,34 +52,34 @@
 
 using arguments = std::vector<std::string>;
 
-/// A command that asks an entry VM.
+/// Command that sends requests to an entry VM.
 struct command
 {
 	const char* name;
-	std::size_t arguments_least;
-	std::size_t arguments_most;
-	bool needs_file; ///< Whether it is meant only with -f.
+	std::size_t min_arguments;
+	std::size_t max_arguments;
+	bool needs_file; ///< Whether -f is required.
 	std::function<int(operators_client&, const arguments&)> run;
 };
 
-constexpr std::size_t k_any_number = SIZE_MAX;
+constexpr std::size_t k_unlimited_arguments = SIZE_MAX;
 
 const std::vector<command>& commands()
 {
 	static const std::vector<command> s_commands = {
-	    {"apply", 0, k_any_number, true,
+	    {"apply", 0, k_unlimited_arguments, true,
 	        [](operators_client& _to, const arguments&)
 	        {
 		        return run_apply(_to);
 	        }},
-	    {"diff", 0, k_any_number, true,
+	    {"diff", 0, k_unlimited_arguments, true,
 	        [](operators_client& _to, const arguments&)
 	        {
 		        return run_diff(_to);
 	        }},
 	    {"get", 1, 2, false, run_get},
 	    {"delete", 2, 2, false, run_delete},
-	    {"shift", 2, k_any_number, false, run_shift},
+	    {"shift", 2, k_unlimited_arguments, false, run_shift},
 	    {"drain", 2, 2, false,
 	        [](operators_client& _to, const arguments& _given)
 	        {
@@ -112,7 +113,7 @@
 		return 1 == count ? run_check(_arguments[0]) : usage();
 	}
 	operators_client to;
-	if (!to.knows_somebody())
+	if (!to.has_endpoints())
 	{
 		std::cerr << "--operators, or $LARKRACK_OPERATORS, must name an entry VM\n";
 		return k_exit_usage;
@@ -120,7 +121,7 @@
 	const bool has_file = !absl::GetFlag(FLAGS_f).empty();
 	for (const command& one : commands())
 	{
-		const bool fits = one.arguments_least <= count && count <= one.arguments_most;
+		const bool fits = one.min_arguments <= count && count <= one.max_arguments;
 		if (one.name == _command && fits && (has_file || !one.needs_file))
 		{
 			return one.run(to, _arguments);
--- a/tools/larkrack_changes.cpp
+++ b/tools/larkrack_changes.cpp
@@ -2,7 +2,7 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Commands that change resources: apply, delete, shift, drain and undrain.
+/// Commands of larkrack that change resources: apply, delete, shift, drain and undrain.
 #include "larkrack_p.h"
 
 #include <cstdlib>
@@ -25,7 +25,7 @@
 	return k_exit_ok;
 }
 
-/// Reads a resource, changes its spec and puts it back only if nobody else changed it.
+/// Reads a resource, modifies its spec, and writes it back unless another operator has changed it meanwhile.
 int change_spec(operators_client& _client, const std::string& _kind, const std::string& _name,
     const std::function<void(nlohmann::json&)>& _change, const std::string& _what)
 {
--- a/tools/larkrack_check.cpp
+++ b/tools/larkrack_check.cpp
@@ -2,7 +2,8 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Reads histories of callers, backend servers and nodes and judges each promise.
+/// larkrack-check: checks the guarantees of the system against histories of callers, backend servers and
+/// nodes.
 
 #include "testing/checker_p.h"
 #include "testing/history_p.h"
@@ -58,7 +59,7 @@
 	const auto shown = static_cast<std::size_t>(absl::GetFlag(FLAGS_show));
 	for (std::size_t at = 0; at < report.violations.size() && at < shown; ++at)
 	{
-		std::cout << "  " << report.violations[at].promise << ": " << report.violations[at].what << "\n";
+		std::cout << "  " << report.violations[at].guarantee << ": " << report.violations[at].what << "\n";
 	}
 	return report.violations.empty() ? 0 : k_exit_violation;
 }
--- a/tools/larkrack_client.cpp
+++ b/tools/larkrack_client.cpp
@@ -2,7 +2,7 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// The exchange with an entry VM, and what its answers mean for the exit code.
+/// HTTP client for the operators' API of entry VMs, and the mapping of responses to exit codes.
 #include "larkrack_p.h"
 
 #include <boost/algorithm/string/classification.hpp>
@@ -14,18 +14,19 @@
 {
 namespace
 {
-/// Seconds that a command waits for its answer: longer than an entry VM takes to end a write as unsure. Not
-/// measured.
+/// Timeout of a request. It is longer than an entry VM takes to report a write as unsure.
 constexpr std::chrono::seconds k_timeout{20};
 
-std::string or_environment(const std::string& _flag, const char* _variable)
+/// @returns The value of a flag, or of an environment variable when the flag is empty.
+std::string flag_or_environment(const std::string& _flag, const char* _variable)
 {
 	const char* value = std::getenv(_variable);
 	return _flag.empty() && nullptr != value ? std::string(value) : _flag;
 }
 
-/// Prints what went wrong and returns the exit code for it.
-int complain(const result<http_response>& _called)
+/// Prints an error.
+/// @returns The exit code for it.
+int report_error(const result<http_response>& _called)
 {
 	if (const error* failure = std::get_if<error>(&_called))
 	{
@@ -64,7 +65,7 @@
 operators_client::operators_client()
 {
 	std::vector<std::string> parts;
-	const std::string list = or_environment(absl::GetFlag(FLAGS_operators), "LARKRACK_OPERATORS");
+	const std::string list = flag_or_environment(absl::GetFlag(FLAGS_operators), "LARKRACK_OPERATORS");
 	boost::split(parts, list, boost::is_any_of(","), boost::token_compress_on);
 	for (const std::string& part : parts)
 	{
@@ -79,7 +80,7 @@
 result<http_response> operators_client::call(
     http::verb _verb, const std::string& _target, const std::string& _body, const std::string& _if_match)
 {
-	result<http_response> last = error{"refused", "no entry VM answers"};
+	result<http_response> last = error{"refused", "no entry VM is reachable"};
 	for (const endpoint& where : m_endpoints)
 	{
 		asio::io_context context;
@@ -88,7 +89,7 @@
 		    {
 			    http_request request = make_request(_verb, _target, where, _body);
 			    request.set("Authorization",
-			        "Bearer " + or_environment(absl::GetFlag(FLAGS_token), "LARKRACK_TOKEN"));
+			        "Bearer " + flag_or_environment(absl::GetFlag(FLAGS_token), "LARKRACK_TOKEN"));
 			    if (!_if_match.empty())
 			    {
 				    request.set("If-Match", "\"" + _if_match + "\"");
@@ -116,7 +117,7 @@
 	const http_response* response = std::get_if<http_response>(&_called);
 	if (nullptr == response || http::status::ok != response->result())
 	{
-		_code = complain(_called);
+		_code = report_error(_called);
 		return std::nullopt;
 	}
 	return nlohmann::json::parse(response->body(), nullptr, false);
--- a/tools/larkrack_documents.cpp
+++ b/tools/larkrack_documents.cpp
@@ -2,7 +2,7 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Commands about files of resources or settings: diff and check, and the reading of such files.
+/// Commands of larkrack for files with resources or settings (diff and check), and the reading of such files.
 #include "larkrack_p.h"
 
 #include "larkrackd/policy_p.h"
@@ -17,7 +17,7 @@
 {
 namespace
 {
-/// @returns Mistakes of a settings file.
+/// @returns Mistakes in a settings document.
 std::vector<mistake> mistakes_of_settings(const nlohmann::json& _document)
 {
 	auto parsed = parse_settings(_document);
@@ -25,7 +25,7 @@
 	return nullptr == found ? std::vector<mistake>() : std::move(*found);
 }
 
-/// @returns Mistakes of resources, taken as a whole configuration.
+/// @returns Mistakes in a list of resources, validated as a complete configuration.
 std::vector<mistake> mistakes_of_resources(const nlohmann::json& _resources)
 {
 	std::vector<mistake> mistakes;
@@ -50,12 +50,14 @@
 	return mistakes;
 }
 
+/// @returns The escape sequence if standard output is a terminal, or an empty string.
 const char* colour(const char* _code)
 {
 	return 0 != isatty(STDOUT_FILENO) ? _code : "";
 }
 
-/// Adds the resources of one document: a list, an object with a list, or one resource.
+/// Adds the resources of one document, which is a list, an object with the field "resources", or one
+/// resource.
 void add_resources(const nlohmann::json& _document, nlohmann::json& _resources)
 {
 	const nlohmann::json list =
@@ -66,7 +68,7 @@
 	}
 }
 
-/// @returns The file itself, or the JSON files of a folder in the order of their names.
+/// @returns The path itself, or the JSON files of a folder, sorted by name.
 std::vector<std::string> files_at(const std::string& _path)
 {
 	std::vector<std::string> files = {_path};
--- a/tools/larkrack_fake_backend.cpp
+++ b/tools/larkrack_fake_backend.cpp
@@ -2,7 +2,7 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Stand-in for backend servers: one process plays many. Faults are set at run time over HTTP.
+/// larkrack-fake-backend: many fake backend servers in one process. Faults are set at run time over HTTP.
 
 #include "base/settings_p.h"
 #include "testing/fake_backend_p.h"
@@ -18,15 +18,17 @@
 ABSL_FLAG(std::string, config, "",
     "JSON file: {\"control\": IP:port, \"backends\": [{name, address, slots, connections}]}");
 ABSL_FLAG(std::string, runs, "", "file for the log of runs");
-ABSL_FLAG(std::uint64_t, seed, 1, "seed of faults that are drawn");
+ABSL_FLAG(std::uint64_t, seed, 1, "seed of random faults");
 
 namespace
 {
 using namespace larkrack;
 
-constexpr std::chrono::milliseconds k_flush{50};
+constexpr std::chrono::milliseconds k_flush_interval{50};
 
-/// Serves "/fake/faults" and "/fake/counts" for all backend servers of the process.
+/// Serves "/fake/faults" and "/fake/counts" for all backend servers of the process. Faults apply to the
+/// server that the field "backend" names, to those with a prefix ("name*"), or without the field to all of
+/// them.
 void handle_control(std::vector<std::unique_ptr<fake_backend>>& _backends, history_writer& _runs,
     http_session& _session, const http_request& _request, const yield_context& _yield)
 {
@@ -48,11 +50,11 @@
 	_session.send(response, _yield);
 }
 
-void flush_for_ever(asio::io_context& _context, history_writer& _runs, const yield_context& _yield)
+void flush_periodically(asio::io_context& _context, history_writer& _runs, const yield_context& _yield)
 {
 	while (true)
 	{
-		sleep_for(_context.get_executor(), k_flush, _yield);
+		sleep_for(_context.get_executor(), k_flush_interval, _yield);
 		_runs.flush();
 	}
 }
@@ -90,7 +92,7 @@
 	start(context,
 	    [&](const yield_context& _yield)
 	    {
-		    flush_for_ever(context, runs, _yield);
+		    flush_periodically(context, runs, _yield);
 	    });
 	asio::signal_set signals(context, SIGINT, SIGTERM);
 	signals.async_wait(
@@ -106,7 +108,7 @@
 
 int main(int _argc, char** _argv)
 {
-	absl::SetProgramUsageMessage("Stand-in for backend servers.");
+	absl::SetProgramUsageMessage("Fake backend servers.");
 	absl::FlagsUsageConfig config;
 	config.version_string = []
 	{
--- a/tools/larkrack_fake_platform.cpp
+++ b/tools/larkrack_fake_platform.cpp
@@ -2,8 +2,8 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Stand-in for the platform: key-value service in the shape of the etcd v3 JSON gateway, and the lagging
-/// list of VMs. Faults are set at run time over HTTP.
+/// larkrack-fake-platform: fake platform with a key-value service that has the etcd v3 JSON API, and the list
+/// of VMs, which lags behind the actual state. Faults are set at run time over HTTP.
 
 #include "testing/fake_platform_p.h"
 
@@ -18,7 +18,7 @@
 
 int main(int _argc, char** _argv)
 {
-	absl::SetProgramUsageMessage("Stand-in for the platform's key-value service and list of VMs.");
+	absl::SetProgramUsageMessage("Fake of the platform's key-value service and list of VMs.");
 	absl::FlagsUsageConfig config;
 	config.version_string = []
 	{
--- a/tools/larkrack_load.cpp
+++ b/tools/larkrack_load.cpp
@@ -2,7 +2,8 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Load and experiments against running programs and stand-ins.
+/// larkrack-load: generates load and runs experiments against running larkrackd processes, fake backend
+/// servers and a fake platform. This file has the flags, the soak experiment and the dispatch.
 
 #include "larkrack_load_p.h"
 
@@ -31,13 +32,13 @@
 constexpr int k_exit_violation = 1;
 constexpr int k_exit_usage = 2;
 constexpr int k_exit_not_ready = 5;
-constexpr int k_soak_faults = 2;
+constexpr int k_faults_per_round = 2;
 
 const char* const k_usage =
     "Load and experiments.\n\n  larkrack-load experiment NAME   one experiment; the last line of "
     "output is its summary\n  larkrack-load soak              faults drawn from the seed, two at "
     "a time\n  larkrack-load list              the experiments\n\nExit codes: 0 no violation, 1 "
-    "violations, 2 usage, 5 the system does not get ready.";
+    "violations, 2 usage, 5 the system does not become ready.";
 
 load_options options_from_flags(const std::string& _experiment)
 {
@@ -69,7 +70,7 @@
 	return nullptr;
 }
 
-/// Two faults at once, each drawn from the seed, over and over.
+/// Soak experiment: repeatedly injects two simultaneous faults, chosen at random from the seed.
 experiment make_soak(std::uint64_t _seed)
 {
 	experiment soak{"soak", "faults drawn from the seed", absl::GetFlag(FLAGS_minutes) * 60.0, 0.5, nullptr};
@@ -83,7 +84,7 @@
 		std::vector<load_action> all;
 		for (double at = 2.0; at + k_round_s < seconds; at += k_round_s)
 		{
-			for (int fault = 0; fault < k_soak_faults; ++fault)
+			for (int fault = 0; fault < k_faults_per_round; ++fault)
 			{
 				const experiment* drawn = find_experiment(names[random() % names.size()]);
 				for (load_action action : drawn->plan(_bench))
--- a/tools/larkrack_load_bench.cpp
+++ b/tools/larkrack_load_bench.cpp
@@ -2,7 +2,7 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Brings the system to a known state, offers load, and carries out the actions of an experiment.
+/// Bench of larkrack-load: prepares the system, generates load, and runs the actions of an experiment.
 
 #include "larkrack_load_p.h"
 
@@ -16,15 +16,15 @@
 constexpr std::chrono::milliseconds k_operator_timeout{8000};
 constexpr std::chrono::milliseconds k_ready_poll{200};
 constexpr int k_ready_polls = 300;
-constexpr int k_operator_tries = 6;
-/// Callers of each region; each keeps its own copy of look-ups.
+constexpr int k_max_operator_attempts = 6;
+/// Number of callers of each region; each has its own cache of look-ups.
 constexpr int k_callers = 120;
 constexpr int k_files = 20;
-/// Operations in flight at which no more are started: the tool itself is at its limit.
-constexpr int k_in_flight_limit = 6000;
+/// Maximum number of operations in flight, the limit of the load tool itself; further operations are skipped.
+constexpr int k_max_in_flight = 6000;
 
-/// Finds the service with the most, or the fewest, backend servers.
-std::string by_size(const deployment& _deployment, bool _largest)
+/// @returns Name of the service with the most, or the fewest, backend servers.
+std::string service_by_size(const deployment& _deployment, bool _largest)
 {
 	const deployed_service* best = nullptr;
 	for (const deployed_service& one : _deployment.services)
@@ -49,18 +49,18 @@
 
 std::string load_bench::interactive() const
 {
-	return by_size(m_deployment, true);
+	return service_by_size(m_deployment, true);
 }
 
 std::string load_bench::files() const
 {
-	return by_size(m_deployment, false);
+	return service_by_size(m_deployment, false);
 }
 
-std::optional<http_response> load_bench::to_operators(http::verb _verb, const std::string& _target,
+std::optional<http_response> load_bench::call_operators(http::verb _verb, const std::string& _target,
     const std::string& _body, const std::string& _if_match, const yield_context& _yield)
 {
-	for (int attempt = 0; attempt < k_operator_tries; ++attempt)
+	for (int attempt = 0; attempt < k_max_operator_attempts; ++attempt)
 	{
 		const deployed_vm& vm = m_deployment.entry_vms[m_random() % m_deployment.entry_vms.size()];
 		http_request request = make_request(_verb, _target, vm.operators, _body);
@@ -80,15 +80,15 @@
 
 nlohmann::json load_bench::status(const yield_context& _yield)
 {
-	const auto response = to_operators(http::verb::get, "/v1/status", "", "", _yield);
+	const auto response = call_operators(http::verb::get, "/v1/status", "", "", _yield);
 	return response ? nlohmann::json::parse(response->body(), nullptr, false) : nlohmann::json();
 }
 
-int load_bench::operate(const std::string& _kind, const std::string& _name, const nlohmann::json& _fields,
-    const yield_context& _yield)
+int load_bench::change_resource(const std::string& _kind, const std::string& _name,
+    const nlohmann::json& _fields, const yield_context& _yield)
 {
 	const std::string target = "/v1/resources/" + _kind + "/" + _name;
-	const auto read = to_operators(http::verb::get, target, "", "", _yield);
+	const auto read = call_operators(http::verb::get, target, "", "", _yield);
 	if (!read || http::status::ok != read->result())
 	{
 		return 0;
@@ -97,7 +97,7 @@
 	nlohmann::json spec = resource.value("spec", nlohmann::json::object());
 	spec.update(_fields);
 	const std::string at = std::to_string(resource.value("revision", std::uint64_t{0}));
-	const auto written = to_operators(
+	const auto written = call_operators(
 	    http::verb::put, target, nlohmann::json({{"spec", spec}}).dump(), "\"" + at + "\"", _yield);
 	return written ? static_cast<int>(written->result_int()) : 0;
 }
@@ -191,7 +191,7 @@
 	{
 		if (!applied)
 		{
-			const auto answer = to_operators(
+			const auto answer = call_operators(
 			    http::verb::post, "/v1/apply", std::get<nlohmann::json>(policy).dump(), "", _yield);
 			applied = answer && http::status::ok == answer->result();
 		}
@@ -202,10 +202,10 @@
 		sleep_for(m_context.get_executor(), k_ready_poll, _yield);
 	}
 	return error{"not_ready",
-	    applied ? "not every slot may be used: " + status(_yield).dump() : "the policy was not accepted"};
+	    applied ? "not all slots are usable: " + status(_yield).dump() : "the policy was not accepted"};
 }
 
-caller_operation load_bench::draw(const std::string& _service)
+caller_operation load_bench::draw_operation(const std::string& _service)
 {
 	caller_operation one;
 	const std::size_t home = m_random() % m_deployment.regions.size();
@@ -214,7 +214,7 @@
 	one.caller = m_deployment.caller_prefix.at(one.home) + "." + std::to_string((number * 37) % 256) + "." +
 	             std::to_string(number % 250 + 1);
 	one.service = _service;
-	one.second_tries = second_tries;
+	one.retries = retries;
 	one.deadline_ms = deadline_ms;
 	const bool is_files = files() == _service;
 	const double dice = std::uniform_real_distribution<double>(0.0, 1.0)(m_random);
@@ -237,7 +237,7 @@
 	return one;
 }
 
-void load_bench::offer(const std::string& _service, const yield_context& _yield)
+void load_bench::generate_load(const std::string& _service, const yield_context& _yield)
 {
 	asio::steady_timer timer(m_context);
 	auto next = std::chrono::steady_clock::now();
@@ -250,14 +250,14 @@
 		next += std::chrono::nanoseconds(static_cast<std::int64_t>(gap_s * 1e9));
 		timer.expires_at(next);
 		timer.async_wait(_yield[ignored]);
-		if (!m_running || k_in_flight_limit < m_callers.in_flight())
+		if (!m_running || k_max_in_flight < m_callers.in_flight())
 		{
 			continue;
 		}
 		start(m_context,
-		    [this, one = draw(_service)](const yield_context& _inner)
+		    [this, one = draw_operation(_service)](const yield_context& _inner)
 		    {
-			    m_callers.operate(one, _inner);
+			    m_callers.run_operation(one, _inner);
 		    });
 	}
 }
@@ -271,7 +271,7 @@
 		start(m_context,
 		    [this, name = service.name](const yield_context& _inner)
 		    {
-			    offer(name, _inner);
+			    generate_load(name, _inner);
 		    });
 	}
 	for (const load_action& action : _actions)
@@ -291,7 +291,8 @@
 	{
 		sleep_for(m_context.get_executor(), std::chrono::milliseconds(50), _yield);
 	}
-	// The stand-in writes its runs out before it answers.
+	// A request to the control port makes the fake backend servers flush their log of runs before they
+	// respond.
 	fault_backends({{"backend", "none"}}, _yield);
 	m_history.flush();
 }
--- a/tools/larkrack_load_experiments.cpp
+++ b/tools/larkrack_load_experiments.cpp
@@ -2,8 +2,9 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// The experiments: what is offered and what goes wrong when. Each is a test of the whole of `larkrackd`;
-/// docs/MEASUREMENTS.md says which failure each one found and where those went that are not here.
+/// Experiments of larkrack-load: load and injected faults of each one. Each experiment is a test of larkrackd
+/// as a whole; docs/MEASUREMENTS.md documents the failure that each one found, and where removed experiments
+/// went.
 
 #include "larkrack_load_p.h"
 
@@ -21,23 +22,24 @@
 	return to_us(clock_system().wall());
 }
 
-/// First entry VM of a region, or of all.
+/// @returns The first entry VM of a region, or of the deployment when no region is given.
 const deployed_vm& vm_of(const load_bench& _bench, const std::string& _region = "")
 {
-	for (const deployed_vm& vm : _bench.place().entry_vms)
+	for (const deployed_vm& vm : _bench.deployed().entry_vms)
 	{
 		if (_region.empty() || vm.region == _region)
 		{
 			return vm;
 		}
 	}
-	return _bench.place().entry_vms.front();
+	return _bench.deployed().entry_vms.front();
 }
 
+/// @returns Names of all entry VMs outside a failure domain.
 std::vector<std::string> vms_outside(const load_bench& _bench, const std::string& _domain)
 {
 	std::vector<std::string> names;
-	for (const deployed_vm& vm : _bench.place().entry_vms)
+	for (const deployed_vm& vm : _bench.deployed().entry_vms)
 	{
 		if (vm.domain != _domain)
 		{
@@ -47,9 +49,10 @@
 	return names;
 }
 
-nlohmann::json shares_to(const load_bench& _bench, double _first)
+/// @returns Shares in which the first region gets a given share, and the others get equal parts of the rest.
+nlohmann::json shares_with_first(const load_bench& _bench, double _first)
 {
-	const std::vector<std::string>& regions = _bench.place().regions;
+	const std::vector<std::string>& regions = _bench.deployed().regions;
 	nlohmann::json shares = nlohmann::json::object();
 	const double rest = (1.0 - _first) / static_cast<double>(regions.size() - 1);
 	double sum = 0.0;
@@ -72,7 +75,7 @@
 	return {{3.0, [&_bench](const yield_context& _yield)
 	    {
 		    _bench.shift_us = now_us();
-		    _bench.operate("steering", _bench.interactive(), shares_to(_bench, 0.5), _yield);
+		    _bench.change_resource("steering", _bench.interactive(), shares_with_first(_bench, 0.5), _yield);
 	    }}};
 }
 
@@ -80,7 +83,7 @@
 {
 	const std::string backend = _bench.files() + "-01";
 	_bench.history().write({{"type", "drain"}, {"backend", backend}, {"t", now_us()}});
-	_bench.operate("backend_server", backend, {{"drain", true}}, _yield);
+	_bench.change_resource("backend_server", backend, {{"drain", true}}, _yield);
 }
 
 plan plan_drain_backend(load_bench& _bench)
@@ -101,18 +104,18 @@
 	    {
 		    const std::string domain = vm_of(_bench).domain;
 		    const std::int64_t at = now_us();
-		    for (const auto& [backend, its_domain] : _bench.place().domain_of_backend)
+		    for (const auto& [backend, its_domain] : _bench.deployed().domain_of_backend)
 		    {
 			    if (its_domain == domain)
 			    {
 				    _bench.history().write({{"type", "drain"}, {"backend", backend}, {"t", at}});
 			    }
 		    }
-		    _bench.operate("domain", domain, {{"drain", true}}, _yield);
+		    _bench.change_resource("domain", domain, {{"drain", true}}, _yield);
 	    }}};
 }
 
-plan signal_at(load_bench& _bench, double _at_s, const std::string& _vm, int _signal)
+plan signal_plan(load_bench& _bench, double _at_s, const std::string& _vm, int _signal)
 {
 	return {{_at_s, [&_bench, _vm, _signal](const yield_context&)
 	    {
@@ -122,29 +125,30 @@
 
 plan plan_stop_entry(load_bench& _bench)
 {
-	return signal_at(_bench, 3.0, vm_of(_bench).name, SIGTERM);
+	return signal_plan(_bench, 3.0, vm_of(_bench).name, SIGTERM);
 }
 
 plan plan_crash_entry(load_bench& _bench)
 {
-	return signal_at(_bench, 3.0, vm_of(_bench).name, SIGKILL);
+	return signal_plan(_bench, 3.0, vm_of(_bench).name, SIGKILL);
 }
 
 plan plan_crash_region(load_bench& _bench)
 {
 	plan all;
-	for (const deployed_vm& vm : _bench.place().entry_vms)
+	for (const deployed_vm& vm : _bench.deployed().entry_vms)
 	{
 		if (vm.region == vm_of(_bench).region)
 		{
-			const plan one = signal_at(_bench, 3.0, vm.name, SIGKILL);
+			const plan one = signal_plan(_bench, 3.0, vm.name, SIGKILL);
 			all.insert(all.end(), one.begin(), one.end());
 		}
 	}
 	return all;
 }
 
-plan backend_faults_at(load_bench& _bench, const nlohmann::json& _faults, double _from_s, double _to_s,
+/// Sets faults at one time and clears them at another.
+plan backend_fault_plan(load_bench& _bench, const nlohmann::json& _faults, double _from_s, double _to_s,
     const nlohmann::json& _undo)
 {
 	return {{_from_s,
@@ -160,7 +164,7 @@
 
 plan plan_cold(load_bench& _bench)
 {
-	plan all = backend_faults_at(_bench, {{"backend", _bench.interactive() + "-0*"}, {"cold_requests", 20}},
+	plan all = backend_fault_plan(_bench, {{"backend", _bench.interactive() + "-0*"}, {"cold_requests", 20}},
 	    2.0, 20.0, {{"cold_requests", 0}});
 	const plan shift = plan_shift(_bench);
 	all.insert(all.end(), shift.begin(), shift.end());
@@ -169,24 +173,24 @@
 
 plan plan_lying_load(load_bench& _bench)
 {
-	return backend_faults_at(
+	return backend_fault_plan(
 	    _bench, {{"backend", _bench.interactive() + "-0*"}, {"lie", 0.0}}, 1.0, 8.0, {{"lie", -1.0}});
 }
 
 plan plan_shedding(load_bench& _bench)
 {
-	return backend_faults_at(_bench, {{"backend", _bench.interactive() + "-0*"}, {"shed_share", 0.5}}, 2.0,
+	return backend_fault_plan(_bench, {{"backend", _bench.interactive() + "-0*"}, {"shed_share", 0.5}}, 2.0,
 	    6.0, {{"shed_share", 0.0}});
 }
 
 plan plan_retry_storm(load_bench& _bench)
 {
-	_bench.second_tries = 4;
+	_bench.retries = 4;
 	_bench.deadline_ms = 600;
-	return backend_faults_at(_bench, {{"slow", 4.0}}, 2.0, 5.0, {{"slow", 1.0}});
+	return backend_fault_plan(_bench, {{"slow", 4.0}}, 2.0, 5.0, {{"slow", 1.0}});
 }
 
-/// Operators change the same policy at the same moment.
+/// Operators change the same resource at the same time.
 plan racing_operators(load_bench& _bench)
 {
 	plan all;
@@ -194,8 +198,8 @@
 	{
 		all.push_back({1.0 + 0.2 * std::floor(round / 3.0), [&_bench, round](const yield_context& _yield)
 		    {
-			    _bench.operate(
-			        "steering", _bench.interactive(), shares_to(_bench, 0.34 + 0.02 * (round % 3)), _yield);
+			    _bench.change_resource("steering", _bench.interactive(),
+			        shares_with_first(_bench, 0.34 + 0.02 * (round % 3)), _yield);
 		    }});
 	}
 	return all;
@@ -203,7 +207,7 @@
 
 plan plan_paused_holder(load_bench& _bench)
 {
-	plan all = signal_at(_bench, 3.0, vm_of(_bench).name, SIGSTOP);
+	plan all = signal_plan(_bench, 3.0, vm_of(_bench).name, SIGSTOP);
 	all.push_back({7.0, [&_bench](const yield_context&)
 	    {
 		    _bench.signal_vm(vm_of(_bench).name, SIGCONT);
@@ -253,7 +257,7 @@
 void cut_domain(load_bench& _bench, const std::string& _domain, bool _cut, const yield_context& _yield)
 {
 	const std::vector<std::string> outside = vms_outside(_bench, _domain);
-	for (const deployed_vm& vm : _bench.place().entry_vms)
+	for (const deployed_vm& vm : _bench.deployed().entry_vms)
 	{
 		if (vm.domain == _domain)
 		{
@@ -283,7 +287,8 @@
 	{
 		all.push_back({1.0 + 0.1 * round, [&_bench, round](const yield_context& _yield)
 		    {
-			    _bench.operate("region", _bench.place().regions[static_cast<std::size_t>(round) % 3],
+			    _bench.change_resource("region",
+			        _bench.deployed().regions[static_cast<std::size_t>(round) % 3],
 			        {{"max_share", 1.0 - 0.0001 * (round % 10)}}, _yield);
 		    }});
 	}
@@ -299,7 +304,7 @@
 	    }});
 	all.push_back({2.0, [&_bench](const yield_context& _yield)
 	    {
-		    _bench.operate("region", _bench.place().regions[0], {{"max_share", 0.99}}, _yield);
+		    _bench.change_resource("region", _bench.deployed().regions[0], {{"max_share", 0.99}}, _yield);
 	    }});
 	all.push_back({4.0, [&_bench](const yield_context& _yield)
 	    {
@@ -307,7 +312,7 @@
 	    }});
 	all.push_back({6.0, [&_bench](const yield_context& _yield)
 	    {
-		    _bench.operate("region", _bench.place().regions[0], {{"max_share", 1.0}}, _yield);
+		    _bench.change_resource("region", _bench.deployed().regions[0], {{"max_share", 1.0}}, _yield);
 	    }});
 	return all;
 }
--- a/tools/larkrack_load_report.cpp
+++ b/tools/larkrack_load_report.cpp
@@ -2,7 +2,7 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Judges the histories of an experiment and sums them up.
+/// Report of larkrack-load: checks the histories of an experiment and writes the summary.
 
 #include "larkrack_load_p.h"
 
@@ -17,19 +17,20 @@
 {
 constexpr double k_us_in_ms = 1000.0;
 constexpr double k_us_in_s = 1e6;
-/// Runs that began so long before the load did are left out.
-constexpr std::int64_t k_runs_before_us = 1000000;
-/// Cap of a region's gain and its window, as both example deployments set them for all services.
+/// Runs that started earlier than this time before the load are excluded.
+constexpr std::int64_t k_run_margin_us = 1000000;
+/// Cap of a region's gain and its window, as configured in both example deployments for all services.
 constexpr double k_cap = 0.1;
 constexpr double k_cap_window_s = 5.0;
 
-double percentile(std::vector<double>& _values, double _part)
+double percentile(std::vector<double>& _values, double _quantile)
 {
 	if (_values.empty())
 	{
 		return 0.0;
 	}
-	const auto at = static_cast<std::size_t>(std::lround(_part * static_cast<double>(_values.size() - 1)));
+	const auto at =
+	    static_cast<std::size_t>(std::lround(_quantile * static_cast<double>(_values.size() - 1)));
 	std::nth_element(_values.begin(), _values.begin() + static_cast<std::ptrdiff_t>(at), _values.end());
 	return _values[at];
 }
@@ -67,7 +68,8 @@
 	return lines;
 }
 
-/// Seconds from a shift's order until its goal is in force.
+/// @returns Seconds from the order of a shift until its goal is in force; null when there was no shift, or it
+/// did not finish.
 nlohmann::json shift_seconds(const std::vector<nlohmann::json>& _lines, const load_bench& _bench)
 {
 	std::int64_t done = 0;
@@ -94,14 +96,14 @@
 	std::vector<nlohmann::json> lines = read_history(_options.report + "/callers.jsonl");
 	for (nlohmann::json& line : read_history(_options.dir + "/runs.jsonl"))
 	{
-		if (_bench.started_us - k_runs_before_us <= line["start"].get<std::int64_t>())
+		if (_bench.started_us - k_run_margin_us <= line["start"].get<std::int64_t>())
 		{
 			lines.push_back(std::move(line));
 		}
 	}
 	std::vector<nlohmann::json> logs = node_logs(_options.dir, _bench.started_us);
 	lines.insert(lines.end(), std::make_move_iterator(logs.begin()), std::make_move_iterator(logs.end()));
-	const check_report verdict = check_history(lines, rules_for(_bench.place(), k_cap, k_cap_window_s));
+	const check_report report = check_history(lines, rules_for(_bench.deployed(), k_cap, k_cap_window_s));
 
 	std::vector<double> served_ms;
 	double relayed = 0.0;
@@ -120,37 +122,37 @@
 		}
 		const std::int64_t took_us = line["t1"].get<std::int64_t>() - line["t0"].get<std::int64_t>();
 		served_ms.push_back(static_cast<double>(took_us) / k_us_in_ms);
-		// An answer that was relayed names two entry VMs.
+		// The response to a relayed request names two entry VMs.
 		relayed += std::string::npos != line.value("way", "").find(',') ? 1.0 : 0.0;
 	}
-	std::map<std::string, int> broken;
-	for (const violation& one : verdict.violations)
+	std::map<std::string, int> violations_by_guarantee;
+	for (const violation& one : report.violations)
 	{
-		++broken[one.promise];
+		++violations_by_guarantee[one.guarantee];
 	}
 	const nlohmann::json shifted = shift_seconds(lines, _bench);
-	std::size_t violations = verdict.violations.size();
+	std::size_t violations = report.violations.size();
 	if ("shift" == _options.experiment && shifted.is_null())
 	{
-		broken["shift_not_done"] = 1;
+		violations_by_guarantee["shift_not_done"] = 1;
 		++violations;
 	}
-	const bool drained = 0.0 <= verdict.last_new_work_s;
+	const bool drained = 0.0 <= report.last_new_work_s;
 	const nlohmann::json last_work =
-	    drained ? nlohmann::json(rounded(verdict.last_new_work_s)) : nlohmann::json();
-	nlohmann::json summary = {{"experiment", _options.experiment}, {"deployment", _bench.place().name},
-	    {"seed", _options.seed}, {"requests", verdict.tries}, {"served", verdict.served},
-	    {"not_run", verdict.not_run}, {"unknown", verdict.unknown}, {"violations", violations},
+	    drained ? nlohmann::json(rounded(report.last_new_work_s)) : nlohmann::json();
+	nlohmann::json summary = {{"experiment", _options.experiment}, {"deployment", _bench.deployed().name},
+	    {"seed", _options.seed}, {"requests", report.tries}, {"served", report.served},
+	    {"not_run", report.not_run}, {"unknown", report.unknown}, {"violations", violations},
 	    {"p50_ms", rounded(percentile(served_ms, 0.5))}, {"p99_ms", rounded(percentile(served_ms, 0.99))},
-	    {"headroom_min", rounded(verdict.headroom_min)},
+	    {"headroom_min", rounded(report.headroom_min)},
 	    {"relay_share", rounded(served_ms.empty() ? 0.0 : relayed / static_cast<double>(served_ms.size()))},
-	    {"max_gain_over_cap", rounded(verdict.max_gain_over_cap)}, {"last_new_work_s", last_work},
-	    {"shift_s", shifted}, {"reasons", reasons}, {"broken", broken}};
+	    {"max_gain_over_cap", rounded(report.max_gain_over_cap)}, {"last_new_work_s", last_work},
+	    {"shift_s", shifted}, {"reasons", reasons}, {"broken", violations_by_guarantee}};
 	std::ofstream(_options.report + "/summary.json") << summary.dump(2) << "\n";
-	std::ofstream told(_options.report + "/violations.txt");
-	for (const violation& one : verdict.violations)
+	std::ofstream violations_file(_options.report + "/violations.txt");
+	for (const violation& one : report.violations)
 	{
-		told << one.promise << ": " << one.what << "\n";
+		violations_file << one.guarantee << ": " << one.what << "\n";
 	}
 	return summary;
 }
--- a/tools/larkrack_trace.cpp
+++ b/tools/larkrack_trace.cpp
@@ -2,8 +2,10 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// larkrack-trace: reads logs of many nodes and tells one request's story, or groups failed requests by
-/// cause.
+/// larkrack-trace: reads logs of many nodes, and prints the events of one request in order, or groups failed
+/// requests by cause.
+/// Owns: no state.
+/// Relies on: log events 1901 and 1902 of larkrackd and larkrack-edge; base/events_p.h has the catalogue.
 
 #include <absl/flags/flag.h>
 #include <absl/flags/parse.h>
@@ -18,10 +20,10 @@
 #include <string>
 #include <vector>
 
-ABSL_FLAG(std::string, id, "", "Id of the request whose story is told.");
+ABSL_FLAG(std::string, id, "", "Id of the request whose events are printed.");
 ABSL_FLAG(bool, failed, false, "Groups failed requests by cause.");
 ABSL_FLAG(int, context_ms, 2000,
-    "Lines of the same node about its beliefs are shown for so long before the request.");
+    "Milliseconds before the request from which lines about the state of its node are printed too.");
 
 namespace
 {
@@ -30,7 +32,7 @@
 constexpr int k_event_request_ended = 1901;
 constexpr int k_event_attempt_failed = 1902;
 
-/// One line of a log.
+/// One log line.
 struct entry
 {
 	std::int64_t at_us = 0;
@@ -48,7 +50,7 @@
 		std::string line;
 		while (std::getline(in, line))
 		{
-			// A collector may have put its own words before the object.
+			// A log collector may have added a prefix before the JSON object.
 			const std::size_t begin = line.find('{');
 			if (std::string::npos == begin)
 			{
@@ -85,11 +87,11 @@
 	    _entry.node.c_str(), _entry.fields.value("name", "").c_str(), details.c_str());
 }
 
-/// @returns Backend servers and services that a request's lines name.
-std::vector<std::string> names_in(const std::vector<const entry*>& _story)
+/// @returns Names of the backend servers in the log lines of a request.
+std::vector<std::string> backends_in(const std::vector<const entry*>& _request_entries)
 {
 	std::vector<std::string> names;
-	for (const entry* one : _story)
+	for (const entry* one : _request_entries)
 	{
 		const std::string backend = one->fields.value("backend", "");
 		if (!backend.empty())
@@ -100,7 +102,9 @@
 	return names;
 }
 
-bool is_belief(const entry& _entry, const std::vector<std::string>& _names)
+/// @returns Whether a line describes the state of the node that may have affected the request: no event of a
+/// request, and about no backend server other than those of the request.
+bool is_state_event(const entry& _entry, const std::vector<std::string>& _names)
 {
 	if (k_event_request_ended == _entry.event || k_event_attempt_failed == _entry.event)
 	{
@@ -110,35 +114,37 @@
 	return backend.empty() || _names.end() != std::find(_names.begin(), _names.end(), backend);
 }
 
-int tell_story(const std::vector<entry>& _entries, const std::string& _id)
+/// Prints the events of a request, and state events of the node that completed it.
+int print_request(const std::vector<entry>& _entries, const std::string& _id)
 {
-	std::vector<const entry*> story;
+	std::vector<const entry*> request_entries;
 	for (const entry& one : _entries)
 	{
 		if (one.fields.value("id", "") == _id)
 		{
-			story.push_back(&one);
+			request_entries.push_back(&one);
 		}
 	}
-	if (story.empty())
+	if (request_entries.empty())
 	{
 		std::fprintf(
 		    stderr, "larkrack-trace: no line names request %s; good outcomes are sampled\n", _id.c_str());
 		return k_not_found;
 	}
-	const std::int64_t end_us = story.back()->at_us;
-	const std::int64_t took_us = story.back()->fields.value("ms", std::int64_t{0}) * 1000;
+	const std::int64_t end_us = request_entries.back()->at_us;
+	const std::int64_t took_us = request_entries.back()->fields.value("ms", std::int64_t{0}) * 1000;
 	const std::int64_t origin_us = end_us - took_us;
 	const std::int64_t from_us = origin_us - std::int64_t{absl::GetFlag(FLAGS_context_ms)} * 1000;
-	const std::vector<std::string> names = names_in(story);
+	const std::vector<std::string> names = backends_in(request_entries);
 	std::printf(
 	    "request %s, 0 is when node %s read it; clocks of nodes may differ, lines of one node are in order\n",
-	    _id.c_str(), story.back()->node.c_str());
+	    _id.c_str(), request_entries.back()->node.c_str());
 	for (const entry& one : _entries)
 	{
 		const bool own = one.fields.value("id", "") == _id;
-		const bool context = one.node == story.back()->node && one.at_us >= from_us && one.at_us <= end_us;
-		if (own || (context && is_belief(one, names)))
+		const bool context =
+		    one.node == request_entries.back()->node && one.at_us >= from_us && one.at_us <= end_us;
+		if (own || (context && is_state_event(one, names)))
 		{
 			print(one, origin_us);
 		}
@@ -153,22 +159,22 @@
 		int count = 0;
 		std::string example;
 	};
-	std::map<std::string, std::string> last_attempt; // By request.
+	std::map<std::string, std::string> last_failure; // Cause of the last failed attempt, by request id.
 	std::map<std::string, group> groups;
 	for (const entry& one : _entries)
 	{
 		const std::string id = one.fields.value("id", "");
 		if (k_event_attempt_failed == one.event)
 		{
-			last_attempt[id] = one.fields.value("why", "");
+			last_failure[id] = one.fields.value("why", "");
 		}
 		if (k_event_request_ended != one.event || "served" == one.fields.value("outcome", ""))
 		{
 			continue;
 		}
 		std::string cause = one.fields.value("outcome", "") + " " + one.fields.value("reason", "");
-		const auto attempt = last_attempt.find(id);
-		cause += last_attempt.end() == attempt ? "" : " after " + attempt->second;
+		const auto attempt = last_failure.find(id);
+		cause += last_failure.end() == attempt ? "" : " after " + attempt->second;
 		cause += " service " + one.fields.value("service", "");
 		group& same = groups[cause];
 		++same.count;
@@ -194,5 +200,5 @@
 		return k_usage_error;
 	}
 	const std::vector<entry> entries = read_logs(files);
-	return id.empty() ? group_failures(entries) : tell_story(entries, id);
+	return id.empty() ? group_failures(entries) : print_request(entries, id);
 }
--- a/tools/larkrack_views.cpp
+++ b/tools/larkrack_views.cpp
@@ -2,7 +2,7 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Commands that show something: get, status, watch and explain.
+/// Commands of larkrack that show the state of the system: get, status, watch and explain.
 #include "larkrack_p.h"
 
 #include <cmath>
@@ -14,10 +14,11 @@
 {
 namespace
 {
-/// Looks of watch in one second: how live it is, against calls to an entry VM. Not measured.
-constexpr int k_watch_rounds = 2;
+/// Polls per second of the command watch. A higher rate shows changes sooner and costs requests to an entry
+/// VM.
+constexpr int k_watch_polls_per_second = 2;
 
-std::string shares_text(const nlohmann::json& _shares)
+std::string format_shares(const nlohmann::json& _shares)
 {
 	std::string text;
 	for (const auto& [region, share] : _shares.items())
@@ -30,10 +31,10 @@
 	return text;
 }
 
-std::string bar(double _part)
+std::string bar(double _fraction)
 {
 	constexpr int k_width = 20;
-	const int full = static_cast<int>(std::lround(_part * k_width));
+	const int full = static_cast<int>(std::lround(_fraction * k_width));
 	return "[" + std::string(static_cast<std::size_t>(full), '#') +
 	       std::string(static_cast<std::size_t>(k_width - full), '.') + "]";
 }
@@ -51,7 +52,7 @@
 }
 
 /// Prints the table of slots.
-void print_rooms(const nlohmann::json& _status)
+void print_slots(const nlohmann::json& _status)
 {
 	std::printf("\n%-16s %-16s %-12s %6s %7s %6s\n", "REGION", "FAILURE DOMAIN", "SERVICE", "SLOTS", "USABLE",
 	    "IN USE");
@@ -71,12 +72,12 @@
 	{
 		std::printf("%-12s %-8s %-9s %s -> %s\n", shift.value("service", "").c_str(),
 		    shift.value("state", "").c_str(), shift.value("waits_for", "").c_str(),
-		    shares_text(shift["shares"]).c_str(), shares_text(shift["goal"]).c_str());
+		    format_shares(shift["shares"]).c_str(), format_shares(shift["goal"]).c_str());
 	}
 }
 
-/// @returns The shifts of a status, as watch shows them.
-std::string watched_text(const nlohmann::json& _status)
+/// @returns The shifts of a status, in the output format of watch.
+std::string format_shifts(const nlohmann::json& _status)
 {
 	std::string text;
 	for (const nlohmann::json& shift : _status["shifts"])
@@ -143,7 +144,7 @@
 	std::printf(
 	    "degraded: %s\n", (*answer)["degraded"].empty() ? "no" : (*answer)["degraded"].dump().c_str());
 	print_entry_vms(*answer);
-	print_rooms(*answer);
+	print_slots(*answer);
 	print_shifts(*answer);
 	return k_exit_ok;
 }
@@ -152,7 +153,7 @@
 {
 	const int seconds = absl::GetFlag(FLAGS_seconds);
 	std::string last;
-	for (int round = 0; 0 == seconds || round < seconds * k_watch_rounds; ++round)
+	for (int poll = 0; 0 == seconds || poll < seconds * k_watch_polls_per_second; ++poll)
 	{
 		int code = k_exit_ok;
 		const auto answer = body_of(_client.call(http::verb::get, "/v1/status"), code);
@@ -160,13 +161,13 @@
 		{
 			return code;
 		}
-		const std::string text = watched_text(*answer);
+		const std::string text = format_shifts(*answer);
 		if (text != last)
 		{
 			std::cout << text << std::endl;
 			last = text;
 		}
-		usleep(1000000 / k_watch_rounds);
+		usleep(1000000 / k_watch_polls_per_second);
 	}
 	return k_exit_ok;
 }
@@ -191,7 +192,7 @@
 		std::printf("%-14s %s", step.value("rule", "").c_str(), step.value("result", "").c_str());
 		if (step.contains("parts"))
 		{
-			std::printf("   (%s; this caller's point is %.4f)", shares_text(step["parts"]).c_str(),
+			std::printf("   (%s; this caller's point is %.4f)", format_shares(step["parts"]).c_str(),
 			    step.value("point", 0.0));
 		}
 		std::printf("\n");
--- a/tools/larkrackd.cpp
+++ b/tools/larkrackd.cpp
@@ -2,7 +2,8 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// The daemon of an entry VM: answers look-ups, carries requests, decides, serves operators.
+/// larkrackd: daemon of an entry VM, which serves look-ups, forwards requests to backend servers, steers
+/// traffic, and serves operators. This file parses flags and settings and runs a node.
 
 #include "larkrackd/node_p.h"
 
