--- a/src/larkrackd/carrier.cpp
+++ b/src/larkrackd/carrier.cpp
@@ -94,7 +94,8 @@
 carrier::carrier(asio::io_context& _context, const kernel& _kernel, retry_token_bucket& _budget)
     : m_context(_context), m_settings(_kernel.find<settings_service>("settings")->get()),
       m_clock(*_kernel.find<clock_base>("clock")), m_gate(*_kernel.find<gate>("gate")),
-      m_keys(*_kernel.find<key_table>("key_table")), m_board(*_kernel.find<view_publisher>("view_publisher")),
+      m_keys(*_kernel.find<key_table>("key_table")),
+      m_view_publisher(*_kernel.find<view_publisher>("view_publisher")),
       m_metrics(*_kernel.find<metrics>("metrics")), m_tracer(_kernel.find<tracer_service>("tracer")->get()),
       m_budget(_budget), m_signer(m_settings.secret), m_pool(_context.get_executor()),
       m_random(std::random_device{}()), m_lookups(m_random())
@@ -162,7 +163,7 @@
 std::optional<reason> carrier::fill(proxied_request& _call, const http_session& _session)
 {
 	const http_request& request = *_call.request;
-	_call.view = m_board.get();
+	_call.view = m_view_publisher.get();
 	_call.entry_vm_path += m_settings.name;
 	_call.caller = caller_of(
 	    _session, request, m_settings.trust_caller_header || request_origin::caller != _call.origin);
@@ -201,7 +202,7 @@
 void carrier::answer_lookup(http_session& _session, const http_request& _request, const yield_context& _yield)
 {
 	m_metrics.count_lookup();
-	const view_ptr view = m_board.get();
+	const view_ptr view = m_view_publisher.get();
 	const std::string target(_request.target());
 	std::string child;
 	const auto span = m_tracer.start_hop("lookup", header_of(_request, k_header_traceparent), child);
--- a/src/larkrackd/carrier_keyed.cpp
+++ b/src/larkrackd/carrier_keyed.cpp
@@ -33,7 +33,7 @@
 	// this incarnation is older than the maximum lifetime of a key.
 	const auto key_life = static_cast<std::uint64_t>(std::chrono::microseconds(k_grant_life).count());
 	const bool old_enough = view.life.value + key_life < static_cast<std::uint64_t>(to_us(_now));
-	return view.first_life || _call.first_try || old_enough;
+	return view.is_first_incarnation || _call.first_try || old_enough;
 }
 } // namespace
 
--- a/src/larkrackd/carrier_p.h
+++ b/src/larkrackd/carrier_p.h
@@ -156,7 +156,7 @@
 	clock_base& m_clock;
 	gate& m_gate;
 	key_table& m_keys;
-	view_publisher& m_board;
+	view_publisher& m_view_publisher;
 	metrics& m_metrics;
 	const tracer_otlp& m_tracer;
 	retry_token_bucket& m_budget;
--- a/src/larkrackd/control.cpp
+++ b/src/larkrackd/control.cpp
@@ -26,7 +26,7 @@
 	m_gate = _kernel.find<gate>("gate");
 	m_peers = _kernel.find<peers_base>("peers");
 	m_sync = _kernel.find<platform_sync>("platform_sync");
-	m_board = _kernel.find<view_publisher>("view_publisher");
+	m_view_publisher = _kernel.find<view_publisher>("view_publisher");
 	m_incarnation.value = static_cast<std::uint64_t>(to_us(m_clock->wall()));
 	m_members = std::make_unique<membership>(m_settings->name, m_settings->domain, m_incarnation);
 	m_last_tick = m_clock->steady();
@@ -58,10 +58,10 @@
 	m_stopping = true;
 }
 
-void control::set_cut(const std::set<std::string>& _vms, bool _platform)
+void control::set_partitioned(const std::set<std::string>& _vms, bool _platform)
 {
-	m_peers->set_cut(_vms);
-	m_sync->set_cut(_platform);
+	m_peers->set_partitioned(_vms);
+	m_sync->set_partitioned(_platform);
 }
 
 void control::run_ticks(const yield_context& _yield)
--- a/src/larkrackd/control_p.h
+++ b/src/larkrackd/control_p.h
@@ -68,7 +68,7 @@
 		return m_incarnation;
 	}
 	/// Blocks the connections to some entry VMs and, if _platform is set, to the platform. For tests.
-	void set_cut(const std::set<std::string>& _vms, bool _platform);
+	void set_partitioned(const std::set<std::string>& _vms, bool _platform);
 
 private:
 	struct service_state
@@ -135,7 +135,7 @@
 	gate* m_gate = nullptr;
 	peers_base* m_peers = nullptr;
 	platform_sync* m_sync = nullptr;
-	view_publisher* m_board = nullptr;
+	view_publisher* m_view_publisher = nullptr;
 	std::unique_ptr<membership> m_members;
 	std::map<std::string, service_state> m_services;
 	std::map<std::string, mix_limiter> m_driver_limiters; ///< By service, while this node drives shifts.
--- a/src/larkrackd/control_shifts.cpp
+++ b/src/larkrackd/control_shifts.cpp
@@ -95,7 +95,7 @@
 		const bool some_open = open.end() != std::find(open.begin(), open.end(), true);
 		if (some_open)
 		{
-			state.limiter.advance(without_closed(target, open), open, _now);
+			state.limiter.advance(redistribute_closed_shares(target, open), open, _now);
 		}
 		announce_shares(service.name, target, state);
 	}
@@ -256,12 +256,12 @@
 		limiter.reset(from, at);
 		m_driver_limiters.insert_or_assign(service.name, limiter);
 	}
-	if (is_same_division(from, goal))
+	if (are_shares_equal(from, goal))
 	{
 		// Time without a shift gives no credit for a larger first step.
 		m_driver_limiters.at(service.name).reset(from, at);
 		const std::vector<double> known_goal = shares_of(now, step.goal);
-		const bool is_known = "done" == step.state && is_same_division(known_goal, goal);
+		const bool is_known = "done" == step.state && are_shares_equal(known_goal, goal);
 		next.state = "done";
 		next.waits_for.clear();
 		next.shares = next.goal;
@@ -283,9 +283,9 @@
 	{
 		return std::nullopt;
 	}
-	next.shares = is_same_division(shares, goal) ? next.goal : shares_by_name(now, shares);
+	next.shares = are_shares_equal(shares, goal) ? next.goal : shares_by_name(now, shares);
 	next.number = step.number + 1;
-	next.state = is_same_division(shares, goal) ? "done" : "moving";
+	next.state = are_shares_equal(shares, goal) ? "done" : "moving";
 	return to_text(next);
 }
 
--- a/src/larkrackd/control_view.cpp
+++ b/src/larkrackd/control_view.cpp
@@ -82,7 +82,7 @@
 	view->life = m_incarnation;
 	view->stopping = m_leaving;
 	detect_first_incarnation(domain);
-	view->first_life = m_first_incarnation;
+	view->is_first_incarnation = m_first_incarnation;
 	for (const entry_vm_spec& vm : now->entry_vms)
 	{
 		view->peers.push_back(view_of(vm, _now));
@@ -91,7 +91,7 @@
 	{
 		view->services.push_back(view_of(service_handle{static_cast<std::uint16_t>(at)}, _now));
 	}
-	m_board->publish(view);
+	m_view_publisher->publish(view);
 }
 
 void control::run_probes(const yield_context& _yield)
--- a/src/larkrackd/lookup.cpp
+++ b/src/larkrackd/lookup.cpp
@@ -32,7 +32,7 @@
 }
 } // namespace
 
-double point_of(const boost::asio::ip::address& _caller, const std::string& _service)
+double caller_hash_point(const boost::asio::ip::address& _caller, const std::string& _service)
 {
 	const wide_address wide = to_wide_address(_caller);
 	const std::string_view bytes(reinterpret_cast<const char*>(&wide), sizeof(wide));
@@ -44,7 +44,7 @@
 {
 	const service_view& service = _view.services[_service.idx];
 	return service.plan.choose(
-	    _view.rules->home_of(_caller), point_of(_caller, _view.rules->at(_service).name));
+	    _view.rules->home_of(_caller), caller_hash_point(_caller, _view.rules->at(_service).name));
 }
 
 std::vector<lookup_choice> order_entry_vms(
--- a/src/larkrackd/lookup_p.h
+++ b/src/larkrackd/lookup_p.h
@@ -34,7 +34,7 @@
 
 /// @returns Number in [0, 1) from a hash of caller and service. It is the same on all nodes and for all
 /// snapshots, so that few callers change region when shares change.
-double point_of(const boost::asio::ip::address& _caller, const std::string& _service);
+double caller_hash_point(const boost::asio::ip::address& _caller, const std::string& _service);
 /// @returns Region that serves the caller now; invalid when the cap of a shift leaves the caller unassigned.
 region_handle region_for(
     const traffic_view& _view, service_handle _service, const boost::asio::ip::address& _caller);
--- a/src/larkrackd/mix.cpp
+++ b/src/larkrackd/mix.cpp
@@ -100,7 +100,8 @@
 	return plan;
 }
 
-std::vector<double> without_closed(const std::vector<double>& _shares, const std::vector<bool>& _open)
+std::vector<double> redistribute_closed_shares(
+    const std::vector<double>& _shares, const std::vector<bool>& _open)
 {
 	double open_sum = 0.0;
 	std::size_t open_count = 0;
@@ -127,7 +128,7 @@
 	return shares;
 }
 
-bool is_same_division(const std::vector<double>& _a, const std::vector<double>& _b)
+bool are_shares_equal(const std::vector<double>& _a, const std::vector<double>& _b)
 {
 	return std::equal(_a.begin(), _a.end(), _b.begin(), _b.end(),
 	    [](double _x, double _y)
--- a/src/larkrackd/mix_p.h
+++ b/src/larkrackd/mix_p.h
@@ -29,7 +29,7 @@
 
 	/// Selects the region of a caller. A caller always has the same point, so that few callers change region
 	/// at a step of a shift.
-	/// @param[in] _point Number in [0, 1), see point_of().
+	/// @param[in] _point Number in [0, 1), see caller_hash_point().
 	/// @returns The region; invalid when the point falls into the unassigned fraction.
 	region_handle choose(region_handle _home, double _point) const;
 };
@@ -43,10 +43,11 @@
 /// Moves the shares of closed (drained or failed) regions to the open ones, in proportion to the shares of
 /// the open ones. When no region or every region is open, returns the shares unchanged.
 /// @param[in] _open Whether each region may serve.
-std::vector<double> without_closed(const std::vector<double>& _shares, const std::vector<bool>& _open);
+std::vector<double> redistribute_closed_shares(
+    const std::vector<double>& _shares, const std::vector<bool>& _open);
 
 /// @returns Whether two lists of shares are equal, apart from rounding errors.
-bool is_same_division(const std::vector<double>& _a, const std::vector<double>& _b);
+bool are_shares_equal(const std::vector<double>& _a, const std::vector<double>& _b);
 
 /// Limits the share that any region gains within one sliding window.
 ///
--- a/src/larkrackd/operators.cpp
+++ b/src/larkrackd/operators.cpp
@@ -74,7 +74,7 @@
 	m_gate = _kernel.find<gate>("gate");
 	m_peers = _kernel.find<peers_base>("peers");
 	m_metrics = _kernel.find<metrics>("metrics");
-	m_board = _kernel.find<view_publisher>("view_publisher");
+	m_view_publisher = _kernel.find<view_publisher>("view_publisher");
 	m_keys = _kernel.find<key_table>("key_table");
 	m_server = std::make_unique<http_server>(m_context,
 	    [this](http_session& _session, http_request& _request, const yield_context& _yield)
@@ -320,7 +320,8 @@
 	{
 		return error_response(http::status::bad_request, "bad_json", "the body is not a JSON object");
 	}
-	m_control->set_cut(body.value("entry_vms", std::set<std::string>()), body.value("platform", false));
+	m_control->set_partitioned(
+	    body.value("entry_vms", std::set<std::string>()), body.value("platform", false));
 	return make_json(http::status::ok, "{}");
 }
 } // namespace larkrack
--- a/src/larkrackd/operators_p.h
+++ b/src/larkrackd/operators_p.h
@@ -65,7 +65,7 @@
 	gate* m_gate = nullptr;
 	peers_base* m_peers = nullptr;
 	metrics* m_metrics = nullptr;
-	view_publisher* m_board = nullptr;
+	view_publisher* m_view_publisher = nullptr;
 	key_table* m_keys = nullptr;
 	bool m_stopping = false;
 	std::unique_ptr<http_server> m_server;
--- a/src/larkrackd/operators_views.cpp
+++ b/src/larkrackd/operators_views.cpp
@@ -123,7 +123,7 @@
 	steps.push_back(
 	    {{"rule", "client_block"}, {"result", is_valid(site) ? rules.sites[site.idx].name : "(no block)"}});
 	steps.push_back({{"rule", "home_region"}, {"result", rules.regions[home.idx].name}});
-	const double point = point_of(_caller, rules.at(_service).name);
+	const double point = caller_hash_point(_caller, rules.at(_service).name);
 	const mix& plan = _view.services[_service.idx].plan;
 	nlohmann::json shares = nlohmann::json::object();
 	for (std::size_t at = 0; at < plan.regions; ++at)
@@ -156,7 +156,7 @@
 
 http_response operators::explain(const std::string& _target) const
 {
-	const view_ptr view = m_board->get();
+	const view_ptr view = m_view_publisher->get();
 	boost::system::error_code failure;
 	const auto caller = asio::ip::make_address(query_value(_target, "caller"), failure);
 	const service_handle service =
--- a/src/larkrackd/peers_p.h
+++ b/src/larkrackd/peers_p.h
@@ -49,7 +49,7 @@
 	/// Sends to a peer; drops the message when the peer is slow or unreachable.
 	virtual void send(const std::string& _vm, const endpoint& _where, const envelope& _envelope) = 0;
 	/// Simulates a network partition for tests: drops messages to and from the named peers.
-	virtual void set_cut(std::set<std::string> _vms) = 0;
+	virtual void set_partitioned(std::set<std::string> _vms) = 0;
 	/// @returns Traffic counters since the start.
 	virtual peer_traffic traffic() const = 0;
 };
--- a/src/larkrackd/peers_websocket.cpp
+++ b/src/larkrackd/peers_websocket.cpp
@@ -113,7 +113,7 @@
 		write(_vm, to, std::string(bytes.begin(), bytes.end()));
 	}
 
-	void set_cut(std::set<std::string> _vms) override
+	void set_partitioned(std::set<std::string> _vms) override
 	{
 		m_partitioned = std::move(_vms);
 	}
--- a/src/larkrackd/platform_sync.cpp
+++ b/src/larkrackd/platform_sync.cpp
@@ -58,12 +58,12 @@
 	m_stopping = true;
 }
 
-void platform_sync::set_cut(bool _cut)
+void platform_sync::set_partitioned(bool _cut)
 {
 	m_cut = _cut;
 	if (auto* over_http = dynamic_cast<store_http*>(m_store))
 	{
-		over_http->set_cut(_cut);
+		over_http->set_partitioned(_cut);
 	}
 }
 
--- a/src/larkrackd/platform_sync_p.h
+++ b/src/larkrackd/platform_sync_p.h
@@ -126,7 +126,7 @@
 	/// @returns Number of calls to the platform by use.
 	std::map<std::string, std::uint64_t> calls() const;
 	/// Blocks this node's calls to the platform. For tests.
-	void set_cut(bool _cut);
+	void set_partitioned(bool _cut);
 
 private:
 	void run_reader(const yield_context& _yield);
--- a/src/larkrackd/shift.cpp
+++ b/src/larkrackd/shift.cpp
@@ -53,7 +53,7 @@
 		const bool drained = domain.drain || _policy.regions[domain.region.idx].drain;
 		open[domain.region.idx] = open[domain.region.idx] || !drained;
 	}
-	return without_closed(_service.steering.shares, open);
+	return redistribute_closed_shares(_service.steering.shares, open);
 }
 
 std::chrono::microseconds limiter_window(const steering_spec& _steering)
--- a/src/larkrackd/traffic_view_p.h
+++ b/src/larkrackd/traffic_view_p.h
@@ -47,7 +47,7 @@
 	std::vector<peer_view> peers;       ///< By entry VM handle.
 	std::vector<service_view> services; ///< By service handle.
 	bool stopping = false;
-	bool first_life = false; ///< No earlier incarnation of this entry VM can have run a key.
+	bool is_first_incarnation = false; ///< No earlier incarnation of this entry VM can have run a key.
 };
 using view_ptr = std::shared_ptr<const traffic_view>;
 
--- a/src/store/store_p.h
+++ b/src/store/store_p.h
@@ -163,7 +163,7 @@
 	watch_end watch(const char* _use, const std::string& _prefix, std::int64_t _from,
 	    const std::function<bool(const watch_batch&)>& _on_batch, const yield_context& _yield) override;
 	/// Partitions the node from the platform. For tests.
-	void set_cut(bool _cut)
+	void set_partitioned(bool _cut)
 	{
 		m_partitioned = _cut;
 	}
--- a/tests/carrier_test.cpp
+++ b/tests/carrier_test.cpp
@@ -107,7 +107,7 @@
 			view->self = rules->find_entry_vm(one == m_east.get() ? "east-1" : "west-1");
 			view->region = rules->region_of(view->self);
 			view->life = _incarnation;
-			view->first_life = true;
+			view->is_first_incarnation = true;
 			view->peers.resize(rules->entry_vms.size());
 			for (peer_view& peer : view->peers)
 			{
--- a/tests/forms/daemon_node_forms.h
+++ b/tests/forms/daemon_node_forms.h
@@ -28,7 +28,7 @@
 	void send(const std::string&, const endpoint&, const envelope&) override
 	{
 	}
-	void set_cut(std::set<std::string>) override
+	void set_partitioned(std::set<std::string>) override
 	{
 	}
 	peer_traffic traffic() const override
--- a/tests/forms/daemon_signatures_forms_test.cpp
+++ b/tests/forms/daemon_signatures_forms_test.cpp
@@ -122,7 +122,7 @@
 			view->self = view->rules->find_entry_vm("west-1");
 			view->region = view->rules->region_of(view->self);
 			view->life = {1};
-			view->first_life = true;
+			view->is_first_incarnation = true;
 			view->peers.resize(view->rules->entry_vms.size());
 			for (peer_view& peer : view->peers)
 			{
--- a/tests/hash_test.cpp
+++ b/tests/hash_test.cpp
@@ -39,7 +39,7 @@
 
 	void point_of_known_caller_is_unchanged()
 	{
-		const double point = point_of(boost::asio::ip::make_address("10.1.0.7"), "cuenta");
+		const double point = caller_hash_point(boost::asio::ip::make_address("10.1.0.7"), "cuenta");
 		CPPUNIT_ASSERT_DOUBLES_EQUAL(0.38777063567405434, point, 1e-16);
 	}
 
--- a/tests/limit_model_test.cpp
+++ b/tests/limit_model_test.cpp
@@ -156,7 +156,7 @@
 		}
 		refresh(node);
 	}
-	void set_cut(int _node, bool _cut)
+	void set_partitioned(int _node, bool _cut)
 	{
 		excuse(_node).cut = _cut;
 	}
@@ -586,14 +586,14 @@
 		model.run(ms(5000), 100.0);
 		for (int node = 0; node < 12; ++node)
 		{
-			model.set_cut(node, true);
+			model.set_partitioned(node, true);
 		}
 		model.run(ms(900), 100.0);
 		model.refresh_views();
 		model.run(ms(6000), 100.0);
 		for (int node = 0; node < 12; ++node)
 		{
-			model.set_cut(node, false);
+			model.set_partitioned(node, false);
 		}
 		model.run(ms(300), 100.0);
 		model.refresh_views();
@@ -625,10 +625,10 @@
 					    model.start(node);
 					    break;
 				    case 2:
-					    model.set_cut(node, true);
+					    model.set_partitioned(node, true);
 					    break;
 				    case 3:
-					    model.set_cut(node, false);
+					    model.set_partitioned(node, false);
 					    break;
 				    case 4:
 					    model.set_frozen(node, true);
--- a/tests/mix_test.cpp
+++ b/tests/mix_test.cpp
@@ -75,7 +75,7 @@
 
 	void shares_when_region_closed_move_in_proportion()
 	{
-		const std::vector<double> shares = without_closed({0.5, 0.3, 0.2}, {false, true, true});
+		const std::vector<double> shares = redistribute_closed_shares({0.5, 0.3, 0.2}, {false, true, true});
 		CPPUNIT_ASSERT(near(0.0, shares[0]));
 		CPPUNIT_ASSERT(near(0.6, shares[1]));
 		CPPUNIT_ASSERT(near(0.4, shares[2]));
@@ -84,9 +84,9 @@
 	void shares_when_all_open_are_not_rounded()
 	{
 		const std::vector<double> shares = {0.25, 0.5, 0.25 - 1e-16};
-		CPPUNIT_ASSERT(shares == without_closed(shares, {true, true, true}));
-		CPPUNIT_ASSERT(is_same_division(shares, {0.25, 0.5, 0.25}));
-		CPPUNIT_ASSERT(!is_same_division(shares, {0.26, 0.49, 0.25}));
+		CPPUNIT_ASSERT(shares == redistribute_closed_shares(shares, {true, true, true}));
+		CPPUNIT_ASSERT(are_shares_equal(shares, {0.25, 0.5, 0.25}));
+		CPPUNIT_ASSERT(!are_shares_equal(shares, {0.26, 0.49, 0.25}));
 	}
 
 	void advance_when_target_is_far_gains_at_cap_rate()
@@ -143,7 +143,7 @@
 				    std::vector<double> target = {(step % 4) / 4.0, 0.0, 0.0};
 				    target[1] = (1.0 - target[0]) / 2;
 				    target[2] = 1.0 - target[0] - target[1];
-				    limiter.advance(without_closed(target, open), open, clock.steady());
+				    limiter.advance(redistribute_closed_shares(target, open), open, clock.steady());
 				    const std::vector<double>& now = limiter.current();
 				    RC_ASSERT(std::accumulate(now.begin(), now.end(), 0.0) <= 1.0 + 1e-9);
 				    for (const auto& [at, shares] : history)
--- a/tests/quota_model_test.cpp
+++ b/tests/quota_model_test.cpp
@@ -196,7 +196,7 @@
 	}
 
 	/// Partitions a node from all others, or reconnects it. The views of nodes change with refresh_views().
-	void set_cut(int _node, bool _cut)
+	void set_partitioned(int _node, bool _cut)
 	{
 		model_node& node = m_nodes.at(static_cast<std::size_t>(_node));
 		node.cut_at = _cut && !node.cut ? m_clock.steady() : node.cut_at;
@@ -529,14 +529,14 @@
 		load.set_rate(0, 10.0 * model.at(0).limit.per_s);
 		for (int node = 0; node < 23; ++node)
 		{
-			model.set_cut(node, true);
+			model.set_partitioned(node, true);
 		}
 		load.run(ms(2000));
 		model.refresh_views();
 		load.run(ms(6000));
 		for (int node = 0; node < 23; ++node)
 		{
-			model.set_cut(node, false);
+			model.set_partitioned(node, false);
 		}
 		load.run(ms(500));
 		model.refresh_views();
@@ -646,10 +646,10 @@
 					    }
 					    break;
 				    case 2:
-					    model.set_cut(node, true);
+					    model.set_partitioned(node, true);
 					    break;
 				    default:
-					    model.set_cut(node, false);
+					    model.set_partitioned(node, false);
 					    break;
 				    }
 				    load.run(ms(*rc::gen::inRange(1, 10) * 100));
