--- a/src/larkrackd/control_p.h
+++ b/src/larkrackd/control_p.h
@@ -101,7 +101,7 @@
 	/// Lowers the share of regions that lost slots, so that they regain the share only as fast as the cap
 	/// allows.
 	static void lower_to_capacity(
-	    const std::vector<region_room>& _capacities, service_state& _state, steady_time _now);
+	    const std::vector<region_capacity>& _capacities, service_state& _state, steady_time _now);
 	void announce_shares(
 	    const std::string& _service, const std::vector<double>& _target, const service_state& _state);
 	void publish(steady_time _now);
@@ -113,7 +113,7 @@
 	void update_owners(domain_handle _domain, service_handle _service, const yield_context& _yield);
 	void drive_shift(service_handle _service, const yield_context& _yield);
 	std::optional<std::string> next_step(const std::string& _old, service_handle _service);
-	std::vector<region_room> region_capacities(service_handle _service, steady_time _now) const;
+	std::vector<region_capacity> region_capacities(service_handle _service, steady_time _now) const;
 	std::set<std::string> owner_candidates(domain_handle _domain, steady_time _now) const;
 	std::vector<std::string> backends_of(domain_handle _domain, service_handle _service) const;
 	owner_facts gather_owner_facts(
--- a/src/larkrackd/control_shifts.cpp
+++ b/src/larkrackd/control_shifts.cpp
@@ -21,10 +21,10 @@
 constexpr std::chrono::seconds k_startup_grace{5};
 } // namespace
 
-std::vector<region_room> control::region_capacities(service_handle _service, steady_time _now) const
+std::vector<region_capacity> control::region_capacities(service_handle _service, steady_time _now) const
 {
 	const policy& now = *rules();
-	std::vector<region_room> all(now.regions.size());
+	std::vector<region_capacity> all(now.regions.size());
 	for (const backend_spec& backend : now.backends)
 	{
 		if (backend.service == _service && !backend.drain && !now.at(backend.domain).drain)
@@ -44,7 +44,7 @@
 		{
 			continue;
 		}
-		region_room& capacity = all[now.at(vm.domain).region.idx];
+		region_capacity& capacity = all[now.at(vm.domain).region.idx];
 		capacity.usable += load->second.usable;
 		capacity.cold = capacity.cold || 0 < load->second.cold;
 		capacity.running += load->second.running;
@@ -75,7 +75,8 @@
 			state.was_open.assign(target.size(), false);
 			continue;
 		}
-		const std::vector<region_room> capacity = region_capacities({static_cast<std::uint16_t>(at)}, _now);
+		const std::vector<region_capacity> capacity =
+		    region_capacities({static_cast<std::uint16_t>(at)}, _now);
 		std::vector<bool> open;
 		for (std::size_t region = 0; region < capacity.size(); ++region)
 		{
@@ -125,10 +126,10 @@
 }
 
 void control::lower_to_capacity(
-    const std::vector<region_room>& _capacities, service_state& _state, steady_time _now)
+    const std::vector<region_capacity>& _capacities, service_state& _state, steady_time _now)
 {
 	int running = 0;
-	for (const region_room& capacity : _capacities)
+	for (const region_capacity& capacity : _capacities)
 	{
 		running += capacity.running;
 	}
--- a/src/larkrackd/control_view.cpp
+++ b/src/larkrackd/control_view.cpp
@@ -64,7 +64,7 @@
 	const service_spec& spec = rules()->at(_service);
 	service_view service;
 	service.plan = plan_mix(spec.steering.demand, m_services[spec.name].limiter.current());
-	for (const region_room& capacity : region_capacities(_service, _now))
+	for (const region_capacity& capacity : region_capacities(_service, _now))
 	{
 		service.open.push_back(capacity.open);
 	}
--- a/src/larkrackd/shift.cpp
+++ b/src/larkrackd/shift.cpp
@@ -23,7 +23,7 @@
 } // namespace
 
 std::string waits_for(const std::vector<double>& _from, const std::vector<double>& _goal,
-    const std::vector<region_room>& _capacities)
+    const std::vector<region_capacity>& _capacities)
 {
 	for (std::size_t at = 0; at < _goal.size(); ++at)
 	{
@@ -31,7 +31,7 @@
 		{
 			continue;
 		}
-		const region_room& capacity = _capacities[at];
+		const region_capacity& capacity = _capacities[at];
 		if (capacity.cold)
 		{
 			return "cold";
--- a/src/larkrackd/shift_p.h
+++ b/src/larkrackd/shift_p.h
@@ -35,7 +35,7 @@
 };
 
 /// Capacity of a region for one service, as its entry VMs report it.
-struct region_room
+struct region_capacity
 {
 	bool open = false; ///< At least one entry VM of the region is alive and has slots.
 	int usable = 0;    ///< Slots that may be used now.
@@ -47,7 +47,7 @@
 /// @returns Why the next step must wait ("cold", "headroom"), or an empty text if the step may be made. Only
 /// regions whose share grows are checked.
 std::string waits_for(const std::vector<double>& _from, const std::vector<double>& _goal,
-    const std::vector<region_room>& _capacities);
+    const std::vector<region_capacity>& _capacities);
 /// @returns Declared shares without the drained regions.
 std::vector<double> goal_shares(const policy& _policy, const service_spec& _service);
 /// @returns Window that limiters use: the declared window and a margin for the time that a step takes to
--- a/tests/mix_test.cpp
+++ b/tests/mix_test.cpp
@@ -161,15 +161,15 @@
 
 	void shift_when_target_has_no_headroom_waits()
 	{
-		const region_room full{true, 100, 99, 100, false};
-		const region_room free{true, 100, 10, 100, false};
+		const region_capacity full{true, 100, 99, 100, false};
+		const region_capacity free{true, 100, 10, 100, false};
 		CPPUNIT_ASSERT_EQUAL(std::string("headroom"), waits_for({0.5, 0.5}, {0.6, 0.4}, {full, free}));
 		CPPUNIT_ASSERT_EQUAL(std::string(), waits_for({0.5, 0.5}, {0.4, 0.6}, {full, free}));
 	}
 
 	void shift_when_target_is_cold_waits()
 	{
-		const region_room cold{true, 100, 10, 100, true};
+		const region_capacity cold{true, 100, 10, 100, true};
 		CPPUNIT_ASSERT_EQUAL(std::string("cold"), waits_for({0.5, 0.5}, {0.6, 0.4}, {cold, cold}));
 	}
 
