--- a/src/base/http_client.cpp
+++ b/src/base/http_client.cpp
@@ -111,7 +111,7 @@
 	beast::error_code failure;
 	http::async_write(connection->stream, _request, _yield[failure]);
 	http::response_parser<http::string_body> parser;
-	parser.body_limit(k_any_length);
+	parser.body_limit(k_unlimited_body_bytes);
 	if (!failure)
 	{
 		http::async_read(connection->stream, connection->buffer, parser, _yield[failure]);
--- a/src/base/http_p.h
+++ b/src/base/http_p.h
@@ -40,7 +40,7 @@
 using yield_context = asio::yield_context;
 /// Body limit for responses of any length. Boost.Beast treats its own "no limit" value as zero when a message
 /// states a Content-Length.
-constexpr std::uint64_t k_any_length = INT64_MAX;
+constexpr std::uint64_t k_unlimited_body_bytes = INT64_MAX;
 
 using http_request = http::request<http::string_body>;
 using http_response = http::response<http::string_body>;
@@ -110,7 +110,7 @@
 	/// Completes a streamed response.
 	bool send_end(const yield_context& _yield);
 	/// @returns Whether the caller has closed the connection. Data that the caller has sent stays unread.
-	bool is_gone();
+	bool peer_has_closed();
 	/// Closes the connection immediately.
 	void close();
 	/// Makes the next response the last one on this connection (`Connection: close`).
--- a/src/base/http_server.cpp
+++ b/src/base/http_server.cpp
@@ -228,7 +228,7 @@
 	return !failure;
 }
 
-bool http_session::is_gone()
+bool http_session::peer_has_closed()
 {
 	return is_closed_by_peer(m_stream.socket());
 }
--- a/src/base/metrics_p.h
+++ b/src/base/metrics_p.h
@@ -55,7 +55,7 @@
 		m_retries->Increment();
 	}
 	/// Records the time from receiving a request to the end of its response, in seconds.
-	void observe_seconds(double _seconds)
+	void observe_request_time(double _seconds)
 	{
 		m_seconds->Observe(_seconds);
 	}
--- a/src/entry_node/store_sync.cpp
+++ b/src/entry_node/store_sync.cpp
@@ -98,7 +98,7 @@
 
 bool store_sync::read_all(bool _allow_stale, const yield_context& _yield)
 {
-	const range_reply reply = _allow_stale ? m_store.range_old("read_old", m_codec.prefix(), true, _yield)
+	const range_reply reply = _allow_stale ? m_store.range_stale("read_old", m_codec.prefix(), true, _yield)
 	                                       : m_store.range("read", m_codec.prefix(), true, _yield);
 	record_result(call_status::done == reply.status);
 	if (call_status::done != reply.status)
--- a/src/larkrackd/carrier.cpp
+++ b/src/larkrackd/carrier.cpp
@@ -156,7 +156,7 @@
 		span->SetTag("backend", end.backend);
 	}
 	m_metrics.count_outcome(_call.service_name, end.result, end.why);
-	m_metrics.observe_seconds(static_cast<double>((m_clock.steady() - started).count()) / 1e6);
+	m_metrics.observe_request_time(static_cast<double>((m_clock.steady() - started).count()) / 1e6);
 	--m_in_flight;
 }
 
--- a/src/larkrackd/carrier_attempts.cpp
+++ b/src/larkrackd/carrier_attempts.cpp
@@ -107,7 +107,7 @@
 {
 	if (request_origin::for_slot == _call.origin)
 	{
-		return serve_locally(_session, _call, k_queue_wait, _yield);
+		return serve_locally(_session, _call, k_max_queue_wait, _yield);
 	}
 	const region_handle region = region_for(*_call.view, _call.service, _call.caller);
 	if (!is_valid(region))
@@ -127,7 +127,7 @@
 			return refused_result(reason::no_headroom, false);
 		}
 		_tried[self.idx] = true;
-		return serve_locally(_session, _call, k_queue_wait, _yield);
+		return serve_locally(_session, _call, k_max_queue_wait, _yield);
 	}
 	_tried[other.idx] = true;
 	return exchange_peer(_session, _call, other, request_origin::for_slot, _yield);
--- a/src/larkrackd/carrier_deliver.cpp
+++ b/src/larkrackd/carrier_deliver.cpp
@@ -86,7 +86,7 @@
 		_session.send_head_only(response, _yield);
 		return;
 	}
-	if (!_call.key.empty() && body.size() <= k_kept_body)
+	if (!_call.key.empty() && body.size() <= k_max_kept_body)
 	{
 		_end.body = body;
 		_end.body_kept = true;
@@ -101,7 +101,7 @@
 	beast::error_code failure;
 	while (!failure && !_up->parser.is_done() && !_queue->stopped)
 	{
-		if (_ahead <= _queue->bytes || (0 < _queue->bytes && k_read_ahead_total <= m_read_ahead))
+		if (_ahead <= _queue->bytes || (0 < _queue->bytes && k_max_total_read_ahead <= m_read_ahead))
 		{
 			_queue->wait(_yield);
 			continue;
@@ -171,7 +171,7 @@
 	{
 		head.content_length(*length);
 	}
-	const std::size_t ahead = m_settings.read_ahead ? k_read_ahead : k_piece;
+	const std::size_t ahead = m_settings.read_ahead ? k_max_read_ahead : k_piece;
 	auto queue = std::make_shared<read_ahead>(m_context);
 	start(m_context,
 	    [this, queue, up = _up, ahead](const yield_context& _inner)
--- a/src/larkrackd/carrier_keyed.cpp
+++ b/src/larkrackd/carrier_keyed.cpp
@@ -31,7 +31,7 @@
 	}
 	// An earlier incarnation of this entry VM may have run a key without a grant. Such a key has expired once
 	// this incarnation is older than the maximum lifetime of a key.
-	const auto key_life = static_cast<std::uint64_t>(std::chrono::microseconds(k_grant_life).count());
+	const auto key_life = static_cast<std::uint64_t>(std::chrono::microseconds(k_grant_lifetime).count());
 	const bool old_enough = view.life.value + key_life < static_cast<std::uint64_t>(to_us(_now));
 	return view.is_first_incarnation || _call.first_try || old_enough;
 }
@@ -45,7 +45,7 @@
 	{
 		place.owner = key_owner(rules, _call.key);
 		place.life = is_valid(place.owner) ? _call.view->peers[place.owner.idx].life : place.life;
-		place.forget_at = m_clock.steady() + k_grant_life;
+		place.forget_at = m_clock.steady() + k_grant_lifetime;
 		return place;
 	}
 	result<grant> read = m_signer.read(_call.key);
--- a/src/larkrackd/carrier_upstream.cpp
+++ b/src/larkrackd/carrier_upstream.cpp
@@ -97,7 +97,7 @@
 	caller.async_wait(tcp::socket::wait_read,
 	    [waiting, _repeatable, &_session, &_up](const boost::system::error_code& _failure)
 	    {
-		    if (*waiting && _repeatable && !_failure && _session.is_gone())
+		    if (*waiting && _repeatable && !_failure && _session.peer_has_closed())
 		    {
 			    _up.caller_gone = true;
 			    _up.connection->stream.cancel();
--- a/src/larkrackd/carrier_upstream_p.h
+++ b/src/larkrackd/carrier_upstream_p.h
@@ -20,7 +20,7 @@
 	explicit upstream(connection_ptr _connection, endpoint _where)
 	    : connection(std::move(_connection)), where(std::move(_where))
 	{
-		parser.body_limit(k_any_length);
+		parser.body_limit(k_unlimited_body_bytes);
 	}
 
 	connection_ptr connection;
--- a/src/larkrackd/control.cpp
+++ b/src/larkrackd/control.cpp
@@ -69,7 +69,7 @@
 	while (!m_stopping)
 	{
 		tick(m_clock->steady());
-		sleep_for(m_context.get_executor(), k_tick, _yield);
+		sleep_for(m_context.get_executor(), k_control_tick_interval, _yield);
 	}
 }
 
@@ -108,7 +108,7 @@
 {
 	const auto gap = _now - m_last_tick;
 	m_last_tick = _now;
-	if (gap < k_pause_gap)
+	if (gap < k_process_pause_threshold)
 	{
 		return;
 	}
--- a/src/larkrackd/control_owners.cpp
+++ b/src/larkrackd/control_owners.cpp
@@ -245,7 +245,7 @@
 	}
 	else if (call_status::not_done != status || !m_sync->is_platform_up())
 	{
-		sleep_for(m_context.get_executor(), k_backoff_first, _yield);
+		sleep_for(m_context.get_executor(), k_initial_store_backoff, _yield);
 	}
 }
 
--- a/src/larkrackd/control_view.cpp
+++ b/src/larkrackd/control_view.cpp
@@ -167,7 +167,7 @@
 	}
 	for (const gate_backend& backend : m_gate->states())
 	{
-		if (backend.grant.owned && k_load_report_stale < now - backend.reported_at)
+		if (backend.grant.owned && k_max_load_report_age < now - backend.reported_at)
 		{
 			modes.push_back("stale_measurements:" + backend.grant.name);
 		}
--- a/src/larkrackd/gate_p.h
+++ b/src/larkrackd/gate_p.h
@@ -142,7 +142,8 @@
 	/// Stores a load report of a backend server.
 	/// @param[in] _load Share of its slots in use; clamped to 0 to 1.
 	void report(const std::string& _backend, double _load, bool _cold, steady_time _now);
-	/// Serves the queues from slots that became usable by the passing of time. Called every k_tick.
+	/// Serves the queues from slots that became usable by the passing of time. Called every
+	/// k_control_tick_interval.
 	void tick(steady_time _now);
 
 	/// @returns Estimated wait of a request that joins the queue now, from the mean latency.
--- a/src/larkrackd/key_table_p.h
+++ b/src/larkrackd/key_table_p.h
@@ -11,7 +11,7 @@
 /// The table is in memory only and lost with the process; a later incarnation answers `unknown` (carrier
 /// checks the grant's incarnation).
 /// Relies on: carrier to call finish() exactly once after each `run`, and to refuse expired grants.
-/// Units: steady time in microseconds; limit in keys (k_keys), stored bodies in bytes (k_kept_body).
+/// Units: steady time in microseconds; limit in keys (k_max_keys), stored bodies in bytes (k_max_kept_body).
 /// Reasons: docs/DESIGN.md (At most once, without a store).
 #pragma once
 
@@ -39,7 +39,7 @@
 	std::string backend;
 	std::string content_type;
 	std::string body;
-	bool body_kept = false; ///< False when the body exceeded k_kept_body and was not stored.
+	bool body_kept = false; ///< False when the body exceeded k_max_kept_body and was not stored.
 };
 using kept_answer_ptr = std::shared_ptr<const kept_response>;
 
@@ -61,7 +61,7 @@
 class key_table : public service_base
 {
 public:
-	explicit key_table(std::size_t _limit = k_keys) : m_limit(_limit)
+	explicit key_table(std::size_t _limit = k_max_keys) : m_limit(_limit)
 	{
 	}
 	const char* name() const override
--- a/src/larkrackd/lookup.cpp
+++ b/src/larkrackd/lookup.cpp
@@ -190,7 +190,7 @@
 	issued_grant.entry_vm = rules.at(chosen.first).name;
 	issued_grant.life = _view->peers[chosen.first.idx].life;
 	issued_grant.issued = _now;
-	issued_grant.expires = _now + k_grant_life;
+	issued_grant.expires = _now + k_grant_lifetime;
 	issued_grant.nonce = m_random();
 	std::string text = chosen.text;
 	text.pop_back();
--- a/src/larkrackd/mix.cpp
+++ b/src/larkrackd/mix.cpp
@@ -17,7 +17,7 @@
 /// of 1 - 1e-16 would keep a shift from reaching its goal) and be far below one step.
 constexpr double k_rounding_error = 1e-9;
 /// Minimum time between two samples of a limiter, and between two moves. Shorter needs more memory (window /
-/// gap samples), longer makes steps coarser. Equal to k_tick.
+/// gap samples), longer makes steps coarser. Equal to k_control_tick_interval.
 constexpr std::chrono::milliseconds k_sample_gap{50};
 
 /// Returns to open regions the share that no other region may gain yet, so that only the lost share of a
--- a/src/larkrackd/operators_views.cpp
+++ b/src/larkrackd/operators_views.cpp
@@ -214,7 +214,7 @@
 	head.set(http::field::content_type, "application/x-ndjson");
 	bool open = _session.send_head(head, _yield);
 	std::string last;
-	while (open && !m_stopping && !_session.is_gone())
+	while (open && !m_stopping && !_session.peer_has_closed())
 	{
 		const nlohmann::json status = status_json();
 		const nlohmann::json update = {{"revision", status["revision"]}, {"shifts", status["shifts"]},
--- a/src/larkrackd/platform_sync.cpp
+++ b/src/larkrackd/platform_sync.cpp
@@ -19,8 +19,8 @@
 
 std::chrono::microseconds backoff(int _tries, std::mt19937_64& _random)
 {
-	const auto maximum =
-	    std::min<std::chrono::milliseconds>(k_backoff_last, k_backoff_first * (1 << std::min(_tries, 6)));
+	const auto maximum = std::min<std::chrono::milliseconds>(
+	    k_max_store_backoff, k_initial_store_backoff * (1 << std::min(_tries, 6)));
 	// Full jitter spreads the calls of the nodes after an outage.
 	return std::chrono::microseconds(
 	    std::uniform_int_distribution<std::int64_t>(1, std::chrono::microseconds(maximum).count())(_random));
--- a/src/larkrackd/retry_token_bucket_p.h
+++ b/src/larkrackd/retry_token_bucket_p.h
@@ -24,7 +24,8 @@
 public:
 	/// @param[in] _share Tokens that each first attempt adds, 0 to 1.
 	/// @param[in] _burst Maximum number of tokens; the bucket starts full.
-	explicit retry_token_bucket(double _share = k_retry_share, double _burst = k_retry_burst)
+	explicit retry_token_bucket(
+	    double _share = k_retry_tokens_per_request, double _burst = k_max_retry_tokens)
 	    : m_share(_share), m_burst(_burst), m_tokens(_burst)
 	{
 	}
--- a/src/store/store_http.cpp
+++ b/src/store/store_http.cpp
@@ -205,7 +205,7 @@
 	beast::error_code failure;
 	http::async_write(connection->stream, request, _yield[failure]);
 	http::response_parser<http::string_body> parser;
-	parser.body_limit(k_any_length);
+	parser.body_limit(k_unlimited_body_bytes);
 	while (!failure && !m_partitioned)
 	{
 		connection->stream.expires_after(k_watch_idle_timeout);
--- a/src/store/store_p.h
+++ b/src/store/store_p.h
@@ -113,7 +113,7 @@
 	    const char* _use, const std::string& _key, bool _prefix, const yield_context& _yield) = 0;
 	/// Reads like range(), but from a replica that may be seconds old, which costs the store less. The
 	/// returned revision is that of the replica, so that a watch from this revision misses no change.
-	virtual range_reply range_old(
+	virtual range_reply range_stale(
 	    const char* _use, const std::string& _key, bool _prefix, const yield_context& _yield)
 	{
 		return range(_use, _key, _prefix, _yield);
--- a/src/testing/callers.cpp
+++ b/src/testing/callers.cpp
@@ -165,7 +165,7 @@
 	beast::error_code failure;
 	http::async_write(connection->stream, request, _yield[failure]);
 	http::response_parser<http::buffer_body> parser;
-	parser.body_limit(k_any_length);
+	parser.body_limit(k_unlimited_body_bytes);
 	if (!failure)
 	{
 		http::async_read_header(connection->stream, connection->buffer, parser, _yield[failure]);
--- a/src/testing/fake_platform.cpp
+++ b/src/testing/fake_platform.cpp
@@ -225,7 +225,7 @@
 	const std::string created =
 	    nlohmann::json({{"result", {{"header", header()}, {"created", true}}}}).dump() + "\n";
 	open = open && _session.send_piece(created.data(), created.size(), _yield);
-	while (open && epoch == m_epoch && !_session.is_gone())
+	while (open && epoch == m_epoch && !_session.peer_has_closed())
 	{
 		for (const watch_batch& batch : m_engine.changes(prefix, next))
 		{
--- a/tests/forms/daemon_metrics_forms_test.cpp
+++ b/tests/forms/daemon_metrics_forms_test.cpp
@@ -39,7 +39,7 @@
 		node.node_metrics->count_lookup();
 		node.node_metrics->count_relay();
 		node.node_metrics->count_retry();
-		node.node_metrics->observe_seconds(0.25);
+		node.node_metrics->observe_request_time(0.25);
 		// Which platform calls were made by now depends on the duration of the test.
 		const std::string scrape = std::regex_replace(node.ask(http::verb::get, "/metrics"),
 		    std::regex("(larkrack_platform_calls\\{use=\")[a-z_]+(\"\\}) [0-9]+\n"
--- a/tests/forms/store_kv_form_test.cpp
+++ b/tests/forms/store_kv_form_test.cpp
@@ -120,7 +120,7 @@
 		run(
 		    [&](const yield_context& _yield)
 		    {
-			    reply = m_store->range_old("u", "a/", true, _yield);
+			    reply = m_store->range_stale("u", "a/", true, _yield);
 		    });
 		CPPUNIT_ASSERT_EQUAL(std::string("GET /kv-range?PathPrefix=a/&stale=1 HTTP/1.1\r\n\r\n"), sent(0));
 		CPPUNIT_ASSERT_EQUAL(
