--- a/src/entry_node/answer_words_p.h
+++ b/src/entry_node/answer_words_p.h
@@ -9,7 +9,7 @@
 /// | --- | --- | --- |
 /// | load | any | yes |
 /// | limit | any | yes; its absence ends a limit only in the response to a request that ran |
-/// | pause (Retry-After) | 503 | yes; with another status it concerns the request, not the backend server |
+/// | rest (Retry-After) | 503 | yes; with another status it concerns the request, not the backend server |
 /// | leaving | any | yes |
 /// | any of them | 421 | no: the response is from another backend server |
 ///
@@ -32,7 +32,7 @@
 {
 	std::optional<backend_load> load;
 	std::optional<limit_report> limit;         ///< The limit from now on, or that there is no limit any more.
-	std::optional<steady_time::duration> rest; ///< Pause: no requests from this node for that long.
+	std::optional<steady_time::duration> rest; ///< Rest: no requests from this node for that long.
 	bool leaving = false;                      ///< The backend server is about to shut down.
 };
 
--- a/src/entry_node/entry_node.cpp
+++ b/src/entry_node/entry_node.cpp
@@ -22,8 +22,8 @@
 /// Share of the other descriptors that connections of callers may use; the rest is for connections to backend
 /// servers. Higher: requests wait for connections to backend servers. Lower: callers are refused sooner.
 constexpr double k_caller_descriptors = 0.6;
-/// Maximum number of connections to each of the other listeners: readiness, look-ups, peers, metrics. Higher:
-/// more memory under abuse. Lower: look-ups of a large region are refused.
+/// Maximum number of connections to each of the other listeners: readiness, lookups, peers, metrics. Higher:
+/// more memory under abuse. Lower: lookups of a large region are refused.
 constexpr std::size_t k_other_connections = 256;
 /// Minimum number of descriptors that are divided, however few the settings permit.
 constexpr int k_min_shared_descriptors = 64;
--- a/src/entry_node/entry_node_p.h
+++ b/src/entry_node/entry_node_p.h
@@ -6,7 +6,7 @@
 ///
 /// Owns the listeners, the UDP socket for messages between nodes, the timers, the store client and one
 /// instance of each component. entry_node.cpp holds start, stop and ticks; entry_node_answers.cpp the HTTP
-/// responses to look-ups, other nodes and scrapes; entry_node_peers.cpp the exchange with other nodes;
+/// responses to lookups, other nodes and scrapes; entry_node_peers.cpp the exchange with other nodes;
 /// entry_node_copies.cpp the fetching of a full copy of the keys. Relies on platform_dialect_base for
 /// everything that depends on the platform.
 #pragma once
@@ -25,7 +25,7 @@
 /// delays the request to the next one. Shorter: a page from another region over a full link times out.
 constexpr std::chrono::milliseconds k_peer_fetch_timeout{1000};
 
-/// Look-up of a caller: which entry nodes take requests for a host?
+/// Lookup of a caller: which entry nodes take requests for a host?
 struct lookup_query
 {
 	std::string host;
@@ -33,16 +33,16 @@
 	std::string domain; ///< Failure domain of the caller.
 };
 
-/// Protocol details of a platform: header names, store keys, look-up format and store client.
+/// Protocol details of a platform: header names, store keys, lookup format and store client.
 class platform_dialect_base
 {
 public:
 	virtual ~platform_dialect_base() = default;
 	virtual header_names headers() const = 0;
 	virtual const record_codec_base& codec() const = 0;
-	/// @returns The look-up in a request target, or nothing when the target is not a look-up.
+	/// @returns The lookup in a request target, or nothing when the target is not a lookup.
 	virtual std::optional<lookup_query> parse_lookup(const std::string& _target) const = 0;
-	/// @returns Response body of a look-up.
+	/// @returns Response body of a lookup.
 	virtual std::string render_lookup(
 	    const std::vector<std::string>& _addresses, std::chrono::milliseconds _ttl) const = 0;
 	/// @returns A client of the store at an address.
--- a/src/entry_node/entry_settings.cpp
+++ b/src/entry_node/entry_settings.cpp
@@ -53,8 +53,8 @@
 	}
 }})JSON";
 
-/// Time to live of a look-up response in seconds, unless the settings demand less. Higher: more requests
-/// still go to a node that has stopped. Lower: more look-ups.
+/// Time to live of a lookup response in seconds, unless the settings demand less. Higher: more requests
+/// still go to a node that has stopped. Lower: more lookups.
 constexpr double k_lookup_ttl_s = 1.5;
 /// Default length of the quota window, in seconds.
 constexpr double k_quota_window_s = 5.0;
--- a/src/entry_node/entry_settings_p.h
+++ b/src/entry_node/entry_settings_p.h
@@ -12,7 +12,7 @@
 
 namespace larkrack
 {
-/// Default maximum share of a service's requests that a new version gets until the roll-out has judged it.
+/// Default maximum share of a service's requests that a new version gets until the rollout has judged it.
 constexpr double k_expose_share = 0.1;
 
 /// Validated settings of one larkrack-edge process; the schema in entry_settings.cpp describes each field.
--- a/src/entry_node/rollout_messages.cpp
+++ b/src/entry_node/rollout_messages.cpp
@@ -16,7 +16,7 @@
 /// First byte of a CBOR array of k_fields elements; no other datagram between nodes begins with it.
 constexpr std::uint8_t k_first_byte = 0x80 + k_fields;
 /// Maximum number of requests that is accepted for one side (the target version or the others) of
-/// one route. It is far above what any node serves in a roll-out, and low enough that no sum overflows.
+/// one route. It is far above what any node serves in a rollout, and low enough that no sum overflows.
 constexpr std::uint64_t k_max_requests = 1U << 22U;
 /// Number of fields of one route: name, target version, other versions.
 constexpr std::size_t k_route_fields = 3;
--- a/src/entry_node/rollout_messages_p.h
+++ b/src/entry_node/rollout_messages_p.h
@@ -2,7 +2,7 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Codec of the datagrams by which nodes report the results of a version to the nodes that decide a roll-out:
+/// Codec of the datagrams by which nodes report the results of a version to the nodes that decide a rollout:
 /// CBOR, up to a kilobyte.
 ///
 /// Owns nothing. Relies on steering/rollout_evidence_p.h for the counts.
@@ -17,7 +17,7 @@
 
 namespace larkrack
 {
-/// Results of a roll-out that one node has observed so far.
+/// Results of a rollout that one node has observed so far.
 struct rollout_report
 {
 	service_name service;
--- a/src/entry_node/rollouts_p.h
+++ b/src/entry_node/rollouts_p.h
@@ -2,13 +2,13 @@
 // License: BSD 2-Clause, see LICENSE.
 
 /// @file
-/// Roll-outs in progress: selects the version for each request, collects results, and writes the state of a
-/// roll-out to the store.
+/// Rollouts in progress: selects the version for each request, collects results, and writes the state of a
+/// rollout to the store.
 ///
 /// Owns the orders, the evidence (counts of requests by version and route) of this node and, where this node
 /// may decide, the evidence that other nodes reported. The rules are in steering/rollout_share,
 /// rollout_verdict and rollout_plan. Relies on state_replica to pass in orders and states, on the fleet view
-/// for the two nodes that decide a roll-out (the first decider and its stand-in), and on entry_node to send
+/// for the two nodes that decide a rollout (the first decider and its backup), and on entry_node to send
 /// datagrams, to pass in received datagrams, to write to the store and to call tick().
 #pragma once
 
@@ -50,7 +50,7 @@
 	virtual void on_attempt_end(const version_attempt& _attempt) = 0;
 };
 
-/// Receives changes of the store's keys for roll-outs.
+/// Receives changes of the store's keys for rollouts.
 class rollout_listener_base
 {
 public:
@@ -63,7 +63,7 @@
 	virtual void on_refused(const std::string& _key, const error& _why) = 0;
 };
 
-/// All roll-outs that this node knows.
+/// All rollouts that this node knows.
 class rollouts : public rollout_routing_base, public rollout_listener_base
 {
 public:
--- a/src/entry_node/state_replica_p.h
+++ b/src/entry_node/state_replica_p.h
@@ -3,7 +3,7 @@
 
 /// @file
 /// This node's replica of the platform's keys: configuration, registry of backend servers, evacuations,
-/// nodes, roll-outs and blocked requests.
+/// nodes, rollouts and blocked requests.
 ///
 /// Owns the replica, the recent deletes that other nodes may request, and the vanished registry entries,
 /// whose time of removal steering/entry_removal decides. Relies on store_sync and entry_node to pass in
@@ -36,7 +36,7 @@
 	evacuation,     ///< One failure domain that gets no new requests.
 	node,           ///< One node of the fleet.
 	rollout_order,  ///< An operator's order to move a service to another version.
-	rollout_status, ///< Progress of a roll-out, as written by nodes.
+	rollout_status, ///< Progress of a rollout, as written by nodes.
 	block,          ///< Evidence about a request that crashes backend servers.
 };
 
@@ -59,7 +59,7 @@
 	virtual std::string node_key(const std::string& _node) const = 0;
 	virtual result<rollout_order> decode_rollout(const store_value& _value) const = 0;
 	virtual result<rollout_status> decode_rollout_status(const store_value& _value) const = 0;
-	/// @returns The write that stores the status of a roll-out.
+	/// @returns The write that stores the status of a rollout.
 	virtual store_write rollout_status_write(const rollout_status& _status) const = 0;
 	virtual result<request_block> decode_block(const store_value& _value) const = 0;
 	/// @returns Fingerprint of the request that a key of kind block refers to, or an error.
@@ -101,7 +101,7 @@
 	std::set<std::string> present;
 };
 
-/// Applies changes of the platform's keys to the routing table, the registry of backend servers, roll-outs
+/// Applies changes of the platform's keys to the routing table, the registry of backend servers, rollouts
 /// and blocked requests. An older value never replaces a newer value of the same key, in whatever order
 /// changes arrive. A full copy removes the keys that it lacks, except the configuration and keys that changed
 /// later.
@@ -114,7 +114,7 @@
 	state_replica(const clock_base& _clock, const record_codec_base& _codec, backend_registry& _backends,
 	    entry_log& _log, routes_handler _on_routes, node_handler _on_node);
 
-	/// Sets the receiver of roll-out keys; without a receiver the keys are ignored.
+	/// Sets the receiver of rollout keys; without a receiver the keys are ignored.
 	void set_rollouts(rollout_listener_base* _rollouts)
 	{
 		m_rollouts = _rollouts;
--- a/src/entry_node/store_sync_p.h
+++ b/src/entry_node/store_sync_p.h
@@ -64,7 +64,7 @@
 	}
 	/// Reads only the configuration, when another node has announced a newer one.
 	void read_routes(const yield_context& _yield);
-	/// Writes the status of a roll-out if its key is at the expected revision, and applies the resulting
+	/// Writes the status of a rollout if its key is at the expected revision, and applies the resulting
 	/// value of the key to the replica.
 	void write_rollout_status(
 	    const rollout_status& _status, std::int64_t _expected_revision, const yield_context& _yield);
--- a/src/entry_node/upstream.cpp
+++ b/src/entry_node/upstream.cpp
@@ -314,7 +314,7 @@
 	    parse_backend_report(_head, m_names, !has_header(_head, m_names.not_run), m_clock.steady());
 	if (!matches_request(_head) || m_cancelled)
 	{
-		// Load and limit may be outdated, or the exchange is no longer counted. Pause and leaving stay valid.
+		// Load and limit may be outdated, or the exchange is no longer counted. Rest and leaving stay valid.
 		report.load.reset();
 		report.limit.reset();
 	}
--- a/src/steering/attempt_rules_p.h
+++ b/src/steering/attempt_rules_p.h
@@ -14,9 +14,9 @@
 /// | failed (status 500 and up) | at most once | reached | - | none: the response is forwarded | none |
 /// | failed | repeatable | reached | yes, response is kept | from the retry budget | none |
 /// | not_run (load shedding) | any | reached | no | from the retry budget | shed |
-/// | not_sent | any | unsent | no | free up to k_max_unsent_attempts, then from the retry budget |
-/// unreachable | | lost | repeatable | reached | yes | from the retry budget | lost_answer | | lost | at most
-/// once | reached | yes | none | lost_answer |
+/// | not_sent | any | unsent | no | free up to k_max_unsent_attempts, then retry budget | unreachable |
+/// | lost | repeatable | reached | yes | from the retry budget | lost_answer |
+/// | lost | at most once | reached | yes | none | lost_answer |
 ///
 /// When no attempt follows (none is permitted, the budget is exhausted, or no backend server has a free
 /// slot), the request ends with the first that applies: a kept response of a backend server, forwarded as
--- a/src/steering/blocked_requests_p.h
+++ b/src/steering/blocked_requests_p.h
@@ -8,16 +8,16 @@
 /// Inputs: block changes from other nodes and from the store, for requests that are blamed for crashes of
 /// backend servers (crash_evidence_p.h); the versions of the service that are running.
 ///
-/// Rule: a blocked request is refused at once. It is let through alone once, as a trial, so that an innocent
-/// request that ran beside the faulty one is cleared; and once more when other versions of the service are
-/// running, since a release may have fixed the fault. Each trial may crash one more backend server, so there
-/// are at most k_max_trials; the one node that is responsible for the request decides whether a trial may be
-/// made.
+/// Algorithm: a blocked request is refused at once. It is let through alone once, as a trial, so that an
+/// innocent request that ran beside the faulty one is cleared; and once more when other versions of the
+/// service are running, since a release may have fixed the fault. Each trial may crash one more backend
+/// server, so there are at most k_max_trials; the one node that is responsible for the request decides
+/// whether a trial may be made.
 ///
 /// Each change to a block has the next number; a change with a number that is not newer (late or duplicate)
 /// is ignored. A cleared request is remembered for a while for the same reason.
 ///
-/// Alternatives considered, in crash_model_test: each node on its own, and each crash sent to all nodes.
+/// Alternatives (crash_model_test): each node on its own, and each crash sent to all nodes.
 ///
 /// Relies on crash_guard to send changes to other nodes and the store, and to pass in changes from them.
 #pragma once
--- a/src/steering/customer_p.h
+++ b/src/steering/customer_p.h
@@ -7,12 +7,12 @@
 /// Finds the customer that a request belongs to. Inputs: the API key that a caller sent; customers and keys
 /// of the configuration.
 ///
-/// Rule: a table holds a 128-bit digest of each key, computed with a secret of this process, and not the key
-/// itself. A lookup takes one digest and about one probe on average, independent of the number of customers
-/// and keys, and compares whole digests, so its duration does not reveal how much of a key was correct. A
-/// configuration with contradicting customers is rejected as a whole.
+/// Algorithm: a table holds a 128-bit digest of each key, computed with a secret of this process, and not the
+/// key itself. A lookup takes one digest and about one probe on average, independent of the number of
+/// customers and keys, and compares whole digests, so its duration does not reveal how much of a key was
+/// correct. A configuration with contradicting customers is rejected as a whole.
 ///
-/// Alternatives considered (docs/design/shifted-customers.md): the keys themselves in a hash map take 4 times
+/// Alternatives (docs/design/shifted-customers.md): the keys themselves in a hash map take 4 times
 /// the memory, and comparing them stops at the first wrong character.
 ///
 /// Relies on the secret being random; two keys with the same digest are treated as the same key.
--- a/src/steering/domain_digest_p.h
+++ b/src/steering/domain_digest_p.h
@@ -7,17 +7,15 @@
 ///
 /// Inputs: names of the live nodes of a failure domain; the sequence number of a digest.
 ///
-/// Rule:
+/// Algorithm:
 /// - A failure domain of at least k_min_digest_nodes nodes reports its state by digests: the last heartbeat
-/// of
-///   each of its live nodes, and how long ago it was received. Two delegates (the first two by rendezvous
+///   of each of its live nodes, and how long ago it was received. Two delegates (the first two by rendezvous
 ///   hashing) send digests alternately, each to any one node of each other failure domain.
 /// - The receiver relays the digest to some nodes of its own failure domain, and each of these relays it to
 ///   as many (relay_plan), in an order that differs by digest, so that a lost datagram or two different views
 ///   of the live nodes miss different nodes each time.
 /// - A node counts as dead if k_max_missed_digests consecutive digests do not list it, in addition to the
-/// time
-///   after which its own failure domain gives it up.
+///   time after which its own failure domain gives it up.
 ///
 /// Purpose: hundreds of nodes in few failure domains. With heartbeats between all of 986 nodes, a round to
 /// each far node took 47 s, so far nodes were discovered late and their demand was outdated, and a
@@ -28,7 +26,7 @@
 /// the number of nodes (about 20 bytes per second for each); the time until a change is known everywhere does
 /// not grow.
 ///
-/// Alternatives considered:
+/// Alternatives:
 /// - infrequent heartbeats between all nodes: the figures above;
 /// - only sums of loads and demand: lookups, quotas and the choice of readers need to know individual nodes,
 ///   and would each need a protocol of their own;
--- a/src/steering/entry_life_p.h
+++ b/src/steering/entry_life_p.h
@@ -8,13 +8,13 @@
 /// Inputs: the start times (Unix milliseconds by the backend server's own clock; 0: not declared) of the
 /// current entry and of the received entry.
 ///
-/// Rule: a later start time is a new incarnation, which has no knowledge and no requests of the previous one;
-/// the same or an undeclared start time is the same incarnation. An entry with an earlier start time is
+/// Algorithm: a later start time is a new incarnation, which has no knowledge and no requests of the previous
+/// one; the same or an undeclared start time is the same incarnation. An entry with an earlier start time is
 /// usually a late write of a former incarnation and is ignored: the current incarnation writes again within a
 /// heartbeat. If it does not, the clock of its VM went back, and the entry is accepted after
 /// k_former_entry_timeout.
 ///
-/// Alternative considered: with the order of the store's revisions alone, a write of a former incarnation
+/// Alternative: with the order of the store's revisions alone, a write of a former incarnation
 /// that the store executes seconds late would restore its counts and connections.
 ///
 /// Relies on state_replica to pass in entries in order of their revisions.
--- a/src/steering/entry_removal_p.h
+++ b/src/steering/entry_removal_p.h
@@ -7,13 +7,14 @@
 /// Inputs: when this node saw the entry vanish; when its calls to the store began to fail; and when the store
 /// became reachable again, from this node or from another node of the region (steady clock).
 ///
-/// Rule: an entry has a lease, which can expire because its owner left or because the store was unreachable.
-/// An entry that vanished while the store was reachable is removed after k_removal_delay. An entry that
-/// vanished during an outage is kept until live owners have had time to write it again (k_reregistration_time
-/// after the end of the outage), but at most for k_removal_delay_outage. Outages shorter than
-/// k_min_relevant_outage let no lease expire. Entries that vanished before the outage are removed as usual.
+/// Algorithm: an entry has a lease, which can expire because its owner left or because the store was
+/// unreachable. An entry that vanished while the store was reachable is removed after k_removal_delay. An
+/// entry that vanished during an outage is kept until live owners have had time to write it again
+/// (k_reregistration_time after the end of the outage), but at most for k_removal_delay_outage. Outages
+/// shorter than k_min_relevant_outage let no lease expire. Entries that vanished before the outage are
+/// removed as usual.
 ///
-/// Alternatives considered:
+/// Alternatives:
 /// - immediate removal: a backend server that renews its lease late would be removed;
 /// - removal after 1,000 ms: by the sum of all delays with 80 nodes, requests could be sent to the backend
 ///   server for 2.6 s, close to the bound of 2 to 3 s;
--- a/src/steering/fleet_rates_p.h
+++ b/src/steering/fleet_rates_p.h
@@ -6,9 +6,9 @@
 ///
 /// Inputs: the heartbeats of the other live nodes, each added once.
 ///
-/// Rule: one pass over all nodes at a regular interval computes all sums; queries read the sums, and their
-/// cost does not depend on the number of nodes. The interval grows with the size of the failure domains, so
-/// the passes per second cost the same at every fleet size.
+/// Algorithm: one pass over all nodes at a regular interval computes all sums; queries read the sums, and
+/// their cost does not depend on the number of nodes. The interval grows with the size of the failure
+/// domains, so the passes per second cost the same at every fleet size.
 ///
 /// Purpose: for each service, a tick queries the demand, the demand that is bound to one region and, for each
 /// region, the portion of the slots. With 986 nodes and two services, a pass for each query made ten passes,
--- a/src/steering/key_frequency_p.h
+++ b/src/steering/key_frequency_p.h
@@ -5,8 +5,8 @@
 /// Key frequency: how often each affinity key is requested, in bounded memory.
 ///
 /// Estimates the fraction of a service's requests that have a key, so that a frequent key gets more backend
-/// servers (backend_choice_p.h). Input: the key of each first attempt. Rule: a counting hash table of fixed
-/// size whose counts are halved from time to time. Keys that share a bucket are counted together, so a
+/// servers (backend_choice_p.h). Input: the key of each first attempt. Algorithm: a counting hash table of
+/// fixed size whose counts are halved from time to time. Keys that share a bucket are counted together, so a
 /// frequency is never underestimated.
 #pragma once
 
--- a/src/steering/load_estimate_p.h
+++ b/src/steering/load_estimate_p.h
@@ -8,10 +8,11 @@
 /// heartbeat interval old); the load that the backend server reports with a response (requests, by its own
 /// count); the time (steady clock).
 ///
-/// Rule: the estimate is the own count plus the requests of other nodes. The latter are taken from the last
-/// report of the backend server while it is fresh (k_max_report_age), and from the heartbeats after that.
+/// Algorithm: the estimate is the own count plus the requests of other nodes. The latter are taken from the
+/// last report of the backend server while it is fresh (k_max_report_age), and from the heartbeats after
+/// that.
 ///
-/// Alternatives considered (docs/DESIGN.md, "Direct sending"; a loaded fleet of nine nodes):
+/// Alternatives (docs/DESIGN.md, "Direct sending"; a loaded fleet of nine nodes):
 /// - reports of backend servers alone: worth 0.147 and queues up to 0.8 s, since each of nine nodes took an
 ///   old report for the total load; with heartbeats and slot portions 0.309;
 /// - an owner node for each backend server, which counts exactly: half of the failure domains have only one
--- a/src/steering/lookup_answer_p.h
+++ b/src/steering/lookup_answer_p.h
@@ -7,9 +7,9 @@
 /// Inputs: the region of the caller; the home regions of the host's routes, in the order of the
 /// configuration; the nodes that are ready and live, including this node if it is ready.
 ///
-/// Rule (failover by locality): all nodes of the caller's region; if there are none, those of the first home
-/// region that has any; if none has, those of all regions; if no node is ready, only this node, which still
-/// serves requests while it stops. The maximum is k_max_lookup_addresses; if there are more nodes, each
+/// Algorithm (failover by locality): all nodes of the caller's region; if there are none, those of the first
+/// home region that has any; if none has, those of all regions; if no node is ready, only this node, which
+/// still serves requests while it stops. The maximum is k_max_lookup_addresses; if there are more nodes, each
 /// responding node selects its own subset (rendezvous hashing), so that the callers of a large region spread
 /// over all nodes: of 98 nodes, the first 64 by name had all callers and the others none.
 ///
--- a/src/steering/loop_gap_p.h
+++ b/src/steering/loop_gap_p.h
@@ -7,9 +7,10 @@
 ///
 /// Inputs: each iteration of the node's event loop, at least one in k_max_loop_interval while it runs.
 ///
-/// Rule: if no iteration occurred for longer, everything that is read within k_backlog after the stall may
-/// have arrived at any moment of it, and counts as arrived at its start. The caller has waited since then; a
-/// timeout counted from the read would outlast the caller's own, and a backend server would work for nobody.
+/// Algorithm: if no iteration occurred for longer, everything that is read within k_backlog after the stall
+/// may have arrived at any moment of it, and counts as arrived at its start. The caller has waited since
+/// then; a timeout counted from the read would outlast the caller's own, and a backend server would work for
+/// nobody.
 ///
 /// Relies on a clock that includes the time of a suspension.
 #pragma once
--- a/src/steering/lost_backends_p.h
+++ b/src/steering/lost_backends_p.h
@@ -8,11 +8,11 @@
 /// Decides what is remembered and for how long. Inputs: the state of a backend server whose entry vanished,
 /// and later the entry that appears under its id; the time.
 ///
-/// Rule: an entry also vanishes while the store is unreachable, or when its backend server could not write
-/// it. When it reappears for the same incarnation, an unexpired rest is restored, and so is the report that
-/// the backend server is leaving. A rest is dropped when it ends, the report after k_leaving_retention. Only
-/// backend servers that reported either are remembered, at most k_max_lost_backends; beyond that the one that
-/// expires first is evicted.
+/// Algorithm: an entry also vanishes while the store is unreachable, or when its backend server could not
+/// write it. When it reappears for the same incarnation, an unexpired rest is restored, and so is the report
+/// that the backend server is leaving. A rest is dropped when it ends, the report after k_leaving_retention.
+/// Only backend servers that reported either are remembered, at most k_max_lost_backends; beyond that the one
+/// that expires first is evicted.
 ///
 /// Relies on backend_registry to pass in vanished and reappearing backend servers.
 #pragma once
--- a/src/steering/news_spread_p.h
+++ b/src/steering/news_spread_p.h
@@ -7,14 +7,13 @@
 /// Inputs: heartbeats of this node and of the live nodes; the number of datagrams that the changes fill; the
 /// senders of received datagrams.
 ///
-/// Rule:
+/// Algorithm:
 /// - Few changes are sent by datagram. In a large fleet the reader sends them to the nodes of its own failure
 ///   domain and to one node of each other failure domain of its region, which forwards them to its own
 ///   failure domain unless it already knew them from another reader. In a small fleet the reader sends them
 ///   to all nodes.
 /// - Many changes (more than k_max_change_datagrams, in a large fleet) are only announced, and each node
-/// requests
-///   them once, over connections that have a lower priority than other traffic.
+///   requests them once, over connections that have a lower priority than other traffic.
 ///
 /// Purpose: hundreds of backend servers that leave or are replaced at once, reported by nodes with links of
 /// 20 Mbit/s. With 98 nodes in a region and 200 leaving backend servers, a reader that sends to all nodes
--- a/src/steering/node_ring_p.h
+++ b/src/steering/node_ring_p.h
@@ -7,11 +7,11 @@
 /// Used to choose the lender of tokens and the node that warms up a cold backend server. Inputs: names of the
 /// nodes; the hash of the item.
 ///
-/// Rule: consistent hashing. Each node has k_points points on a ring, an item belongs to the next point, and
-/// the backup is the next different node, which takes over when the first one leaves. A node that joins or
-/// leaves changes the owner of 1/n of the items.
+/// Algorithm: consistent hashing. Each node has k_points points on a ring, an item belongs to the next point,
+/// and the backup is the next different node, which takes over when the first one leaves. A node that joins
+/// or leaves changes the owner of 1/n of the items.
 ///
-/// Alternative considered: rendezvous hashing, as elsewhere. A lookup on the ring takes log n steps instead
+/// Alternative: rendezvous hashing, as elsewhere. A lookup on the ring takes log n steps instead
 /// of n hashes, and there is one for each request of a customer and for each cold backend server that a
 /// request could be sent to.
 ///
--- a/src/steering/outlier_ejection_p.h
+++ b/src/steering/outlier_ejection_p.h
@@ -6,13 +6,13 @@
 ///
 /// Inputs: how each exchange of this node with the backend server ended; the time (steady clock).
 ///
-/// Rule (passive outlier ejection): a failed connection ejects at once, lost responses after three in a row.
-/// The ejection time doubles with each further consecutive failure, up to a maximum; the backend server
+/// Algorithm (passive outlier ejection): a failed connection ejects at once, lost responses after three in a
+/// row. The ejection time doubles with each further consecutive failure, up to a maximum; the backend server
 /// returns when the time is over, and the next response resets the count. A refusal because of no free slot
 /// is not a failure, and neither is a rest, which runs independently of an ejection: the longer of the two
 /// holds.
 ///
-/// Alternatives considered:
+/// Alternatives:
 /// - active health checks: each occupies a slot, and responses, refusals and lost connections are more
 ///   informative (docs/DESIGN.md, "Known limits");
 /// - ejection by the fraction of failed responses: a backend server that fails a fraction of its requests is
--- a/src/steering/rollout_plan_p.h
+++ b/src/steering/rollout_plan_p.h
@@ -13,9 +13,8 @@
 ///   bad. Until then the version is watched, so one that turns bad late is detected. A version without any
 ///   request by k_give_up_fraction of the duration is rolled back, since nothing is known about it.
 /// - The first of two nodes (node_ring_p.h) writes; the backup node writes k_backup_write_delay later if the
-/// state
-///   has not changed. Both write under the condition that the key in the store is unchanged, so a decided
-///   rollout stays decided, even if several nodes consider themselves the first.
+///   state has not changed. Both write under the condition that the key in the store is unchanged, so a
+///   decided rollout stays decided, even if several nodes consider themselves the first.
 ///
 /// Alternatives: a lease for the deciding node. The conditional write gives the same guarantee without a key
 /// to keep alive.
