--- a/src/entry_node/answer_words.cpp
+++ b/src/entry_node/answer_words.cpp
@@ -43,8 +43,8 @@
 	return _ran ? std::optional<limit_report>(limit_report{std::nullopt, _now}) : std::nullopt;
 }
 
-/// @returns The longest pause of all Retry-After headers of a response.
-std::optional<steady_time::duration> parse_longest_pause(const message_header& _head)
+/// @returns The longest rest of all Retry-After headers of a response.
+std::optional<steady_time::duration> parse_longest_rest(const message_header& _head)
 {
 	std::optional<steady_time::duration> longest;
 	const auto named = _head.equal_range(http::field::retry_after);
@@ -68,7 +68,7 @@
 	report.limit = parse_limit_header(_head, _names, _ran, _now);
 	if (http::status::service_unavailable == _head.result())
 	{
-		report.rest = parse_longest_pause(_head);
+		report.rest = parse_longest_rest(_head);
 	}
 	const auto leaving = _head.find(_names.leaving);
 	report.leaving = _head.end() != leaving && "0" != leaving->value();
--- a/src/entry_node/backend_limits.cpp
+++ b/src/entry_node/backend_limits.cpp
@@ -62,7 +62,7 @@
 	{
 		answer = quota_answer::unknown; // No node of the backend server's region is reachable.
 	}
-	m_refused += quota_answer::over == answer || quota_answer::unknown == answer ? 1 : 0;
+	m_refused += quota_answer::over_limit == answer || quota_answer::unknown == answer ? 1 : 0;
 	return answer;
 }
 
@@ -76,35 +76,35 @@
 	_decided(quota_answer::granted);
 }
 
-void backend_limits::give_back(const backend_state& _backend)
+void backend_limits::return_token(const backend_state& _backend)
 {
 	if (const std::optional<quota_subject> subject = find_subject(_backend.id_hash))
 	{
-		m_tokens.give_back(*subject);
+		m_tokens.return_token(*subject);
 	}
 }
 
 std::optional<quota_subject> backend_limits::find_subject(std::uint64_t _id) const
 {
-	const backend_server* backend = m_backends.find_instance(static_cast<std::uint32_t>(_id));
+	const backend_server* backend = m_backends.find_incarnation(static_cast<std::uint32_t>(_id));
 	if (nullptr == backend || !backend->limit.limited())
 	{
 		return std::nullopt;
 	}
-	return limit_quota_subject(_id, *backend->limit.word().per_s);
+	return limit_quota_subject(_id, *backend->limit.report().per_s);
 }
 
 responsible_nodes backend_limits::responsible_for(std::uint64_t _id) const
 {
-	const backend_server* backend = m_backends.find_instance(static_cast<std::uint32_t>(_id));
+	const backend_server* backend = m_backends.find_incarnation(static_cast<std::uint32_t>(_id));
 	return nullptr == backend
 	           ? responsible_nodes()
 	           : m_fleet.responsible_in_region(backend->region, ring_position(backend->id_hash));
 }
 
-bool backend_limits::is_lender(std::uint32_t _instance) const
+bool backend_limits::is_lender(std::uint32_t _incarnation) const
 {
-	const responsible_node lender = responsible_for(_instance).first;
+	const responsible_node lender = responsible_for(_incarnation).first;
 	return 0 != lender.name_hash && lender.ip.empty();
 }
 
@@ -113,18 +113,18 @@
 	limit_message message;
 	if (const auto* request = std::get_if<quota_request>(&_message))
 	{
-		message.life = static_cast<std::uint32_t>(request->customer);
+		message.incarnation = static_cast<std::uint32_t>(request->customer);
 		message.tokens = *request;
 	}
 	else
 	{
 		const auto& grant = std::get<quota_grant>(_message);
-		message.life = static_cast<std::uint32_t>(grant.customer);
+		message.incarnation = static_cast<std::uint32_t>(grant.customer);
 		message.tokens = grant;
 	}
-	if (const backend_server* backend = m_backends.find_instance(message.life))
+	if (const backend_server* backend = m_backends.find_incarnation(message.incarnation))
 	{
-		message.word = backend->limit.word();
+		message.report = backend->limit.report();
 		m_send(encode(message, m_clock.steady()), _ip);
 	}
 }
@@ -145,8 +145,8 @@
 
 bool backend_limits::apply_limit(backend_server& _backend, const limit_report& _limit)
 {
-	const limit_report before = _backend.limit.word();
-	if (!_backend.limit.hear(_limit))
+	const limit_report before = _backend.limit.report();
+	if (!_backend.limit.take_report(_limit))
 	{
 		return false;
 	}
@@ -160,7 +160,7 @@
 
 void backend_limits::log_change(const backend_server& _backend, const limit_report& _before)
 {
-	const limit_report& now = _backend.limit.word();
+	const limit_report& now = _backend.limit.report();
 	const char* state = !_before.per_s ? "begins" : now.per_s ? "changes" : "ends";
 	m_log.write(log_line(event::backend_limited)
 	                .text("backend", _backend.registered.id.text)
@@ -169,10 +169,10 @@
 	                .decimal("limit_per_s", now.per_s.value_or(0.0)));
 }
 
-bool backend_limits::is_announcer(std::uint32_t _instance) const
+bool backend_limits::is_announcer(std::uint32_t _incarnation) const
 {
 	const responsible_node announcer =
-	    m_fleet.responsible_in_region(m_region, ring_position(_instance)).first;
+	    m_fleet.responsible_in_region(m_region, ring_position(_incarnation)).first;
 	return 0 != announcer.name_hash && announcer.ip.empty();
 }
 
@@ -185,7 +185,7 @@
 	const std::vector<std::string> region_addresses = m_fleet.region_addresses();
 	announced_limit& announced = m_announced[_backend.id_hash];
 	const steady_time now = m_clock.steady();
-	const std::optional<double>& per_s = _backend.limit.word().per_s;
+	const std::optional<double>& per_s = _backend.limit.report().per_s;
 	if (!differs(announced.per_s, per_s) || now - announced.at < announce_interval(region_addresses.size()))
 	{
 		return; // tick() checks again.
@@ -212,17 +212,17 @@
 
 void backend_limits::send_limit(const backend_server& _backend, const std::string& _ip)
 {
-	m_send(encode(limit_message{_backend.id_hash, _backend.limit.word(), {}}, m_clock.steady()), _ip);
+	m_send(encode(limit_message{_backend.id_hash, _backend.limit.report(), {}}, m_clock.steady()), _ip);
 }
 
 void backend_limits::on_message(const limit_message& _message, const std::string& _sender_ip)
 {
-	backend_server* backend = m_backends.find_instance(_message.life);
+	backend_server* backend = m_backends.find_incarnation(_message.incarnation);
 	if (nullptr == backend)
 	{
 		return; // This node does not know the backend server's registry entry yet.
 	}
-	if (apply_limit(*backend, _message.word))
+	if (apply_limit(*backend, _message.report))
 	{
 		announce_limit(*backend);
 	}
@@ -245,7 +245,7 @@
     const backend_server& _backend, const quota_request& _request, const std::string& _ip)
 {
 	const quota_grant grant{_backend.id_hash, _request.wanted, {}};
-	m_send(encode(limit_message{_backend.id_hash, _backend.limit.word(), grant}, m_clock.steady()), _ip);
+	m_send(encode(limit_message{_backend.id_hash, _backend.limit.report(), grant}, m_clock.steady()), _ip);
 }
 
 void backend_limits::tick()
@@ -254,7 +254,7 @@
 	m_tokens.tick({lender_node_count(nodes.live, nodes.most), nodes.most, nodes.version});
 	for (auto it = m_announced.begin(); it != m_announced.end();)
 	{
-		const backend_server* backend = m_backends.find_instance(it->first);
+		const backend_server* backend = m_backends.find_incarnation(it->first);
 		if (nullptr == backend || !is_announcer(it->first) ||
 		    (!it->second.per_s && !backend->limit.limited()))
 		{
--- a/src/entry_node/backend_limits_p.h
+++ b/src/entry_node/backend_limits_p.h
@@ -37,7 +37,7 @@
 	/// @param[in] _decided Called exactly once, immediately or later, never with quota_answer::waits.
 	virtual void wait_for_token(const backend_state& _backend, handler _decided) = 0;
 	/// Returns the token of a request that was not sent to the backend server.
-	virtual void give_back(const backend_state& _backend) = 0;
+	virtual void return_token(const backend_state& _backend) = 0;
 	/// Processes the limit that a backend server reported with a response to this node.
 	virtual void on_limit_report(backend_server& _backend, const limit_report& _limit) = 0;
 };
@@ -53,16 +53,16 @@
 
 	quota_answer take(const backend_state& _backend) override;
 	void wait_for_token(const backend_state& _backend, handler _decided) override;
-	void give_back(const backend_state& _backend) override;
+	void return_token(const backend_state& _backend) override;
 	void on_limit_report(backend_server& _backend, const limit_report& _limit) override;
 	/// Processes a message of another node.
 	void on_message(const limit_message& _message, const std::string& _sender_ip);
 	/// Must be called periodically.
 	void tick();
-	/// See token_exchange::wake().
-	void wake()
+	/// See token_exchange::check_waiting().
+	void check_waiting()
 	{
-		m_tokens.wake();
+		m_tokens.check_waiting();
 	}
 	/// @returns Number of requests that were not sent to a backend server because of its limit, since the
 	/// start.
@@ -81,11 +81,11 @@
 
 	std::optional<quota_subject> find_subject(std::uint64_t _id) const override;
 	responsible_nodes responsible_for(std::uint64_t _id) const override;
-	/// @returns Whether this node is the first lender of the limit of a backend server instance.
-	bool is_lender(std::uint32_t _instance) const;
-	/// @returns Whether this node announces the limit of a backend server instance to its region; in the
+	/// @returns Whether this node is the first lender of the limit of a backend server incarnation.
+	bool is_lender(std::uint32_t _incarnation) const;
+	/// @returns Whether this node announces the limit of a backend server incarnation to its region; in the
 	/// region of the backend server, that is the lender.
-	bool is_announcer(std::uint32_t _instance) const;
+	bool is_announcer(std::uint32_t _incarnation) const;
 	void send(const quota_message& _message, const std::string& _ip) override;
 	void on_refused(std::uint64_t) override
 	{
@@ -110,7 +110,7 @@
 	entry_log& m_log;
 	sender m_send;
 	token_exchange m_tokens;
-	std::unordered_map<std::uint32_t, announced_limit> m_announced; ///< By hash of the instance.
+	std::unordered_map<std::uint32_t, announced_limit> m_announced; ///< By hash of the incarnation.
 	std::uint64_t m_refused = 0;
 };
 } // namespace larkrack
--- a/src/entry_node/backend_registry.cpp
+++ b/src/entry_node/backend_registry.cpp
@@ -39,7 +39,7 @@
 	idle_connections = static_cast<int>(m_idle.size());
 }
 
-backend_ptr backend_registry::add_instance(const backend_record& _record)
+backend_ptr backend_registry::add_incarnation(const backend_record& _record)
 {
 	auto backend = std::make_shared<backend_server>();
 	backend->id_hash = incarnation_hash(_record);
@@ -50,7 +50,7 @@
 	return backend;
 }
 
-void backend_registry::remove_instance(backend_server& _backend)
+void backend_registry::remove_incarnation(backend_server& _backend)
 {
 	_backend.gone = true;
 	_backend.close_idle();
@@ -66,13 +66,13 @@
 	if (backend &&
 	    entry_incarnation::same != classify_entry(backend->registered.started_ms, _record.started_ms))
 	{
-		remove_instance(*backend);
+		remove_incarnation(*backend);
 		backend.reset();
 	}
 	const bool is_new = !backend;
 	if (is_new)
 	{
-		backend = add_instance(_record);
+		backend = add_incarnation(_record);
 	}
 	backend->registered = _record;
 	if (is_new)
@@ -94,7 +94,7 @@
 		return;
 	}
 	m_lost.keep(*it->second, _now);
-	remove_instance(*it->second);
+	remove_incarnation(*it->second);
 	m_by_id.erase(it);
 }
 
@@ -167,7 +167,7 @@
 	return m_by_service.end() == it ? s_empty : it->second;
 }
 
-backend_server* backend_registry::find_instance(std::uint32_t _hash) const
+backend_server* backend_registry::find_incarnation(std::uint32_t _hash) const
 {
 	const auto it = m_by_hash.find(_hash);
 	return m_by_hash.end() == it ? nullptr : it->second;
--- a/src/entry_node/backend_registry_p.h
+++ b/src/entry_node/backend_registry_p.h
@@ -9,8 +9,8 @@
 /// entries, on fleet to report how many requests other nodes have in flight, and on upstream to count
 /// exchanges.
 ///
-/// An instance is one run of a backend server process. A restarted backend server is a new instance, with a
-/// new state object, under the same or another id.
+/// An incarnation is one run of a backend server process. A restarted backend server is a new incarnation,
+/// with a new state object, under the same or another id.
 #pragma once
 
 #include "steering/backend_state_p.h"
@@ -75,7 +75,7 @@
 	/// @param[in] _region_of Region by failure domain.
 	explicit backend_registry(std::unordered_map<std::string, std::string> _region_of);
 	/// Adds a backend server or updates its registration. A restarted backend server gets a new state object
-	/// under the same id; requests in flight complete with the object of the former instance.
+	/// under the same id; requests in flight complete with the object of the former incarnation.
 	void put(const backend_record& _record, steady_time _now);
 	/// Removes a backend server. Reported state that is still in force is restored if its entry returns.
 	void remove(const backend_id& _id, steady_time _now);
@@ -111,9 +111,9 @@
 	{
 		return m_regions;
 	}
-	/// @param[in] _hash incarnation_hash() of an instance of a backend server.
+	/// @param[in] _hash incarnation_hash() of a backend server.
 	/// @returns The backend server, or null when there is none.
-	backend_server* find_instance(std::uint32_t _hash) const;
+	backend_server* find_incarnation(std::uint32_t _hash) const;
 	/// @returns Number of backend servers that report a limit; linear in the number of backend servers.
 	std::size_t limited() const;
 	/// @returns Number of backend servers that announced their shutdown in a response; linear in the number
@@ -125,9 +125,9 @@
 	}
 
 private:
-	backend_ptr add_instance(const backend_record& _record);
-	/// Removes an instance of a backend server from all indices except the one by id.
-	void remove_instance(backend_server& _backend);
+	backend_ptr add_incarnation(const backend_record& _record);
+	/// Removes an incarnation of a backend server from all indices except the one by id.
+	void remove_incarnation(backend_server& _backend);
 
 	std::unordered_map<std::string, std::string> m_region_of;
 	std::vector<region_name> m_regions;
--- a/src/entry_node/backend_words.cpp
+++ b/src/entry_node/backend_words.cpp
@@ -33,7 +33,7 @@
 	++m_rests_asked;
 	const steady_time now = m_clock.steady();
 	const steady_time previous_end = _backend->rest.until();
-	if (!_backend->rest.hear(_rest, now))
+	if (!_backend->rest.take_report(_rest, now))
 	{
 		return;
 	}
--- a/src/entry_node/crash_guard.cpp
+++ b/src/entry_node/crash_guard.cpp
@@ -71,7 +71,7 @@
 
 crash_guard::~crash_guard()
 {
-	for (auto& [instance, suspected] : m_suspected_crashes)
+	for (auto& [incarnation, suspected] : m_suspected_crashes)
 	{
 		suspected.probe->cancel();
 	}
@@ -116,7 +116,7 @@
 	    {
 		    if (!_error)
 		    {
-			    wake();
+			    expire_trials();
 		    }
 	    });
 	send(trial_request{_request, versions}, {counting_node.ip});
@@ -162,13 +162,13 @@
 
 void crash_guard::on_connection_broken(const backend_ptr& _backend, const request_fingerprint& _request)
 {
-	const std::uint32_t instance = _backend->id_hash;
-	if (m_suspected_crashes.end() == m_suspected_crashes.find(instance) &&
+	const std::uint32_t incarnation = _backend->id_hash;
+	if (m_suspected_crashes.end() == m_suspected_crashes.find(incarnation) &&
 	    m_suspected_crashes.size() >= k_max_probes)
 	{
 		return;
 	}
-	suspected_crash& suspected = m_suspected_crashes[instance];
+	suspected_crash& suspected = m_suspected_crashes[incarnation];
 	if (suspected.requests.size() < k_max_reported_requests)
 	{
 		suspected.requests.push_back(_request);
@@ -179,16 +179,16 @@
 	}
 	suspected.backend = _backend;
 	suspected.probe = std::make_shared<crash_probe>(m_context, _backend,
-	    [this, instance](bool _crashed)
+	    [this, incarnation](bool _crashed)
 	    {
-		    on_probed(instance, _crashed);
+		    on_probed(incarnation, _crashed);
 	    });
 	suspected.probe->start();
 }
 
-void crash_guard::on_probed(std::uint32_t _instance, bool _crashed)
+void crash_guard::on_probed(std::uint32_t _incarnation, bool _crashed)
 {
-	const auto it = m_suspected_crashes.find(_instance);
+	const auto it = m_suspected_crashes.find(_incarnation);
 	const suspected_crash suspected = std::move(it->second);
 	m_suspected_crashes.erase(it);
 	if (!_crashed)
@@ -217,7 +217,7 @@
 	}
 }
 
-void crash_guard::report_crash(std::uint32_t _instance, const request_fingerprint& _request)
+void crash_guard::report_crash(std::uint32_t _incarnation, const request_fingerprint& _request)
 {
 	if (was_served_recently(_request))
 	{
@@ -225,8 +225,8 @@
 	}
 	const steady_time now = m_clock.steady();
 	const bool caller_only = has_no_body(_request) && m_served.has(_request.content, now);
-	m_observed.on_crash(_request, {_instance, _request.caller, caller_only, now});
-	const crash_report report{_request, _instance, caller_only};
+	m_observed.on_crash(_request, {_incarnation, _request.caller, caller_only, now});
+	const crash_report report{_request, _incarnation, caller_only};
 	send_to_counting_nodes(report, _request);
 	repeat(report, {}, k_report_repeats);
 }
@@ -270,8 +270,8 @@
 
 void crash_guard::count_crash(const crash_report& _report)
 {
-	const std::optional<request_fingerprint> blamed = m_counted.on_crash(
-	    _report.request, {_report.life, _report.request.caller, _report.caller_only, m_clock.steady()});
+	const std::optional<request_fingerprint> blamed = m_counted.on_crash(_report.request,
+	    {_report.incarnation, _report.request.caller, _report.caller_only, m_clock.steady()});
 	if (blamed && nullptr == m_blocked.find(*blamed))
 	{
 		block(*blamed);
@@ -520,7 +520,7 @@
 	}
 }
 
-void crash_guard::wake()
+void crash_guard::expire_trials()
 {
 	const steady_time now = m_clock.steady();
 	std::vector<request_fingerprint> expired;
@@ -540,7 +540,8 @@
 void crash_guard::tick()
 {
 	const steady_time now = m_clock.steady();
-	wake(); // The timer stops while the VM is suspended, and covers only the trial that was requested last.
+	expire_trials(); // The timer stops while the VM is suspended, and covers only the trial that was
+	                 // requested last.
 	send_repeats();
 	retry_writes();
 	m_observed.tick(now);
--- a/src/entry_node/crash_guard_p.h
+++ b/src/entry_node/crash_guard_p.h
@@ -11,14 +11,14 @@
 /// ended, on the fleet view for the counting nodes, on entry_node to send datagrams, to pass in received
 /// datagrams, to write to the store and to call tick(), and on state_replica for the contents of the store.
 ///
-/// Each request has two counting nodes, chosen by consistent hashing: the first one and its stand-in. They
+/// Each request has two counting nodes, chosen by consistent hashing: the first one and its backup. They
 /// collect the crashes that the request causes anywhere. A blocked request may be let through a few times as
 /// a trial, so that an innocent one is cleared; the first counting node grants the trials.
 ///
 /// Messages:
 /// - crash_report: from a node that observed a crash to the counting nodes, for each crash, sent twice.
 /// - block_update: from a counting node to the nodes of its region and, in each other region, to one node and
-///   its stand-in, which forward it within their region; when a request is blocked, let through or cleared,
+///   its backup, which forward it within their region; when a request is blocked, let through or cleared,
 ///   sent three times. The counting node also writes the same state to the store, and repeats the write until
 ///   it reads the state back.
 /// - trial_request and trial_response: between a node that received a blocked request and the first counting
@@ -119,7 +119,7 @@
 	/// Must be called periodically.
 	void tick();
 	/// Refuses trials that were not answered in time. A timer calls it while any is pending.
-	void wake();
+	void expire_trials();
 	/// @returns Number of requests that are blocked at this node.
 	std::size_t blocked() const
 	{
@@ -166,10 +166,10 @@
 		steady_time next{};
 	};
 
-	void on_probed(std::uint32_t _instance, bool _crashed);
+	void on_probed(std::uint32_t _incarnation, bool _crashed);
 	/// Reports the crash of a backend server to the counting nodes of a request that it was running, unless
 	/// the request was served recently.
-	void report_crash(std::uint32_t _instance, const request_fingerprint& _request);
+	void report_crash(std::uint32_t _incarnation, const request_fingerprint& _request);
 	void count_crash(const crash_report& _report);
 	void count_served(const success_report& _report);
 	/// @returns Whether a request without a body was served recently for the same caller at this node.
@@ -206,7 +206,7 @@
 	entry_log& m_log;
 	sender m_send;
 	writer m_write;
-	std::map<std::uint32_t, suspected_crash> m_suspected_crashes; ///< By hash of the instance.
+	std::map<std::uint32_t, suspected_crash> m_suspected_crashes; ///< By hash of the incarnation.
 	crash_evidence m_observed;                                    ///< Crashes that this node observed.
 	crash_evidence m_counted; ///< Crashes that any node observed, for requests that this node counts.
 	blocked_requests m_blocked;
--- a/src/entry_node/crash_messages.cpp
+++ b/src/entry_node/crash_messages.cpp
@@ -29,7 +29,7 @@
 
 message_values values_of(const crash_report& _report)
 {
-	return {{_report.life, _report.caller_only ? 1U : 0U}};
+	return {{_report.incarnation, _report.caller_only ? 1U : 0U}};
 }
 
 message_values values_of(const success_report&)
--- a/src/entry_node/crash_messages_p.h
+++ b/src/entry_node/crash_messages_p.h
@@ -24,8 +24,8 @@
 struct crash_report
 {
 	request_fingerprint request;
-	std::uint32_t life = 0;   ///< incarnation_hash() of the backend server.
-	bool caller_only = false; ///< See crash_record::caller_only.
+	std::uint32_t incarnation = 0; ///< incarnation_hash() of the backend server.
+	bool caller_only = false;      ///< See crash_record::caller_only.
 };
 
 /// To the counting nodes: a suspected request was served.
--- a/src/entry_node/customer_quotas.cpp
+++ b/src/entry_node/customer_quotas.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 /// Maximum time that a request waits for a token. With a longer wait, callers wait in vain while no lender
-/// answers. With a shorter one, requests are refused before the stand-in finds the first lender
+/// answers. With a shorter one, requests are refused before the backup lender finds the first lender
 /// unresponsive.
 constexpr std::chrono::milliseconds k_max_token_wait{450};
 /// Time between two log lines about one customer, and time without a refusal after which the customer
@@ -44,7 +44,7 @@
 		m_tokens.wait(_customer, std::move(_decided));
 		return;
 	}
-	if (quota_answer::over == answer)
+	if (quota_answer::over_limit == answer)
 	{
 		on_refused(_customer.id);
 	}
--- a/src/entry_node/customer_quotas_p.h
+++ b/src/entry_node/customer_quotas_p.h
@@ -26,7 +26,7 @@
 	/// @param[in] _decided Called exactly once, immediately or later, never with quota_answer::waits.
 	virtual void take(const customer& _customer, handler _decided) = 0;
 	/// Returns the token of a request that reached no backend server.
-	virtual void give_back(const customer& _customer) = 0;
+	virtual void return_token(const customer& _customer) = 0;
 	/// @returns Seconds after which a refused caller of the customer may retry.
 	virtual double quota_retry_delay_s(const customer& _customer) const = 0;
 };
@@ -41,9 +41,9 @@
 	    const fleet_view_base& _fleet, const node_name& _self, entry_log& _log, sender _send);
 
 	void take(const customer& _customer, handler _decided) override;
-	void give_back(const customer& _customer) override
+	void return_token(const customer& _customer) override
 	{
-		m_tokens.give_back(_customer);
+		m_tokens.return_token(_customer);
 	}
 	double quota_retry_delay_s(const customer& _customer) const override
 	{
@@ -61,10 +61,10 @@
 	}
 	/// Must be called periodically.
 	void tick();
-	/// See token_exchange::wake().
-	void wake()
+	/// See token_exchange::check_waiting().
+	void check_waiting()
 	{
-		m_tokens.wake();
+		m_tokens.check_waiting();
 	}
 
 private:
--- a/src/entry_node/entry_node_answers.cpp
+++ b/src/entry_node/entry_node_answers.cpp
@@ -145,7 +145,8 @@
 	    static_cast<double>(counters.attempts));
 	gauge("retries_denied", "Retries that the budget did not allow.",
 	    static_cast<double>(counters.retries_denied));
-	gauge("callers_left", "Callers that left before their answer.", static_cast<double>(counters.left));
+	gauge(
+	    "callers_left", "Callers that left before their answer.", static_cast<double>(counters.disconnected));
 	gauge("queued", "Requests that waited for a slot.", static_cast<double>(counters.queued));
 	gauge("in_flight", "Requests whose answer is due.", static_cast<double>(m_forwarder.in_flight()));
 	gauge("caller_connections", "Open connections of callers.", static_cast<double>(m_callers.connections()));
@@ -155,9 +156,9 @@
 	gauge("limit_refusals", "Requests that the limit of a backend server kept from it.",
 	    static_cast<double>(m_limits.refused()));
 	gauge("resting_backends", "Backend servers that have asked this node for rest.",
-	    static_cast<double>(m_forwarder.words().resting()));
+	    static_cast<double>(m_forwarder.reports().resting()));
 	gauge("rests_asked", "Answers of backend servers that asked for rest.",
-	    static_cast<double>(m_forwarder.words().rests_asked()));
+	    static_cast<double>(m_forwarder.reports().rests_asked()));
 	gauge("leaving_backends", "Backend servers that said beside an answer that they leave.",
 	    static_cast<double>(m_backends.reported_leaving()));
 	gauge("blocked_requests",
--- a/src/entry_node/entry_node_peers.cpp
+++ b/src/entry_node/entry_node_peers.cpp
@@ -102,7 +102,7 @@
 	result<node_heartbeat> decoded = decode_heartbeat(m_datagram_buffer.data(), _size);
 	if (const node_heartbeat* one = value_of(decoded))
 	{
-		const contact_reply due = m_fleet.hear(*one);
+		const contact_reply due = m_fleet.on_heartbeat(*one);
 		if (contact_reply::none != due)
 		{
 			refresh_heartbeat();
@@ -177,7 +177,7 @@
 
 bool entry_node::should_register() const
 {
-	return m_fleet.registers();
+	return m_fleet.should_register();
 }
 
 void entry_node::on_store_changes(const store_changes& _changes)
@@ -260,8 +260,8 @@
 void entry_node::send_heartbeats()
 {
 	refresh_heartbeat();
-	const std::vector<std::uint8_t> bytes = encode(m_fleet.next());
-	for (const std::string& ip : m_fleet.targets())
+	const std::vector<std::uint8_t> bytes = encode(m_fleet.next_heartbeat());
+	for (const std::string& ip : m_fleet.heartbeat_targets())
 	{
 		send_datagram(bytes, ip);
 	}
--- a/src/entry_node/fleet.cpp
+++ b/src/entry_node/fleet.cpp
@@ -100,7 +100,7 @@
 	m_highest_config = std::max(m_highest_config, _live.config_version);
 }
 
-contact_reply fleet::hear(const node_heartbeat& _heartbeat)
+contact_reply fleet::on_heartbeat(const node_heartbeat& _heartbeat)
 {
 	if (_heartbeat.node == m_self.node)
 	{
@@ -230,11 +230,11 @@
 	// A silent node of another region gets heartbeats as often as a node of this region, to detect its
 	// return.
 	const bool is_silent_far = proximity::far == where && !alive(_member, _now);
-	return _pace.is_turn(
+	return _pace.is_heartbeat_due(
 	    m_self.node, _member.last.node, m_self.sequence, is_silent_far ? proximity::region : where);
 }
 
-std::vector<std::string> fleet::targets()
+std::vector<std::string> fleet::heartbeat_targets()
 {
 	const steady_time now = m_clock.steady();
 	const node_liveness pace = liveness();
@@ -249,7 +249,7 @@
 	for (auto& [ip, tries] : m_addresses)
 	{
 		if (node_liveness::is_tried_each_heartbeat(tries++) ||
-		    pace.is_turn(m_self.node, node_name(ip), m_self.sequence, proximity::region))
+		    pace.is_heartbeat_due(m_self.node, node_name(ip), m_self.sequence, proximity::region))
 		{
 			targets.push_back(ip);
 		}
@@ -307,7 +307,7 @@
 	return m_self;
 }
 
-node_heartbeat fleet::next()
+node_heartbeat fleet::next_heartbeat()
 {
 	++m_self.sequence;
 	m_self.neighbours = neighbour_reports();
--- a/src/entry_node/fleet_answers.cpp
+++ b/src/entry_node/fleet_answers.cpp
@@ -14,12 +14,12 @@
 namespace
 {
 /// Milliseconds without a heartbeat of any node after which this node counts itself as cut off, long before
-/// each other node counts as dead. Longer: this node lends the whole limits of customers while their stand-in
+/// each other node counts as dead. Longer: this node lends the whole limits of customers while their backup
 /// lenders do the same. Shorter: a node that is paused for a moment refuses callers. In the smallest fleet
 /// this is the time of four heartbeats.
 constexpr std::chrono::milliseconds k_isolation_timeout{400};
 /// Maximum age in milliseconds of the totals over the live nodes. Longer: shares, warm-up and quotas follow
-/// the death of a node or a change of demand later. Shorter: more passes over all nodes.
+/// a crash of a node or a change of demand later. Shorter: more passes over all nodes.
 constexpr std::chrono::milliseconds k_max_summary_age{250};
 
 /// Multiplier of name hashes in checksums: odd, so that different sets of nodes collide only by chance. Not a
@@ -51,13 +51,13 @@
 }
 } // namespace
 
-bool fleet::registers() const
+bool fleet::should_register() const
 {
-	return larkrack::registers(m_self, live_with(
-	                                       [this](const node_heartbeat& _node)
-	                                       {
-		                                       return _node.domain == m_self.domain;
-	                                       }));
+	return larkrack::should_register(m_self, live_with(
+	                                             [this](const node_heartbeat& _node)
+	                                             {
+		                                             return _node.domain == m_self.domain;
+	                                             }));
 }
 
 lookup_decision fleet::look_up(const region_name& _region, const std::vector<region_name>& _homes) const
@@ -114,7 +114,7 @@
 	const node_heartbeat* peer = choose_peer(m_self, _store_revision, live_with(is_newer));
 	if (nullptr == peer)
 	{
-		m_highest_revision = _store_revision; // The nodes with newer revisions have died.
+		m_highest_revision = _store_revision; // The nodes with newer revisions count as dead.
 	}
 	return peer;
 }
--- a/src/entry_node/fleet_p.h
+++ b/src/entry_node/fleet_p.h
@@ -5,16 +5,16 @@
 /// Membership table of the fleet: which other nodes exist, which are live and ready, and what load they
 /// report.
 ///
-/// Owns the table of nodes and the candidate addresses of nodes that were not heard yet (fleet.cpp,
-/// fleet_digests.cpp); queries by other components are in fleet_answers.cpp. The rules that work on the table
-/// are in src/steering: node_liveness, lookup_answer, store_readers, store_start, news_spread,
+/// Owns the table of nodes and the candidate addresses of nodes whose heartbeat was not received yet
+/// (fleet.cpp, fleet_digests.cpp); queries by other components are in fleet_answers.cpp. The rules that work
+/// on the table are in src/steering: node_liveness, lookup_answer, store_readers, store_start, news_spread,
 /// shared_budgets, fleet_rates, slot_portion. Relies on entry_node to pass in received heartbeats and to send
 /// the heartbeats of this node.
 ///
 /// Cost: processing a datagram is linear in its contents and independent of the number of nodes; a node that
-/// joins or leaves costs one step per failure domain; tick() and next() iterate over all nodes. Queries on
-/// the path of a request use lists of nodes that are rebuilt only when a node joins, dies or changes its
-/// state.
+/// joins or leaves costs one step per failure domain; tick() and next_heartbeat() iterate over all nodes.
+/// Queries on the path of a request use lists of nodes that are rebuilt only when a node joins, is lost or
+/// changes its state.
 #pragma once
 
 #include "entry_node/forwarder_p.h"
@@ -69,12 +69,12 @@
 	/// @param[in] _self Heartbeat of this node; the caller updates its state and load through self() before
 	/// each heartbeat.
 	/// @param[in] _backends Receives the numbers of requests that other nodes have in flight.
-	/// @param[in] _log Receives an event for each node that dies or is live again.
+	/// @param[in] _log Receives an event for each node that counts as dead or is live again.
 	fleet(const clock_base& _clock, node_heartbeat _self, backend_registry& _backends, entry_log& _log);
 
 	/// Applies a heartbeat of another node.
 	/// @returns The heartbeat that this node sends back at once, if any.
-	contact_reply hear(const node_heartbeat& _heartbeat);
+	contact_reply on_heartbeat(const node_heartbeat& _heartbeat);
 	/// Applies a digest of the nodes of another failure domain.
 	void on_digest(const domain_digest& _digest);
 	/// @returns Addresses to which this node relays a digest received from _sender_ip; usually none.
@@ -87,17 +87,17 @@
 	std::vector<std::string> digest_targets();
 	/// Adds a candidate address: one at which a node may be reachable.
 	void add_address(const std::string& _ip);
-	/// @returns Addresses to which the heartbeat of this round is sent; call it after next().
-	std::vector<std::string> targets();
+	/// @returns Addresses to which the heartbeat of this round is sent; call it after next_heartbeat().
+	std::vector<std::string> heartbeat_targets();
 	/// Starts a round of heartbeats.
 	/// @returns This node's heartbeat for the round.
-	node_heartbeat next();
+	node_heartbeat next_heartbeat();
 	/// @returns A heartbeat of this node outside of the rounds, for a node that is new here or as an
-	/// announcement. Do not call it with greeting::none.
+	/// announcement. Do not call it with contact_reply::none.
 	/// @param[in] _for Failure domain of the receiver; empty: several receivers.
 	node_heartbeat unscheduled_heartbeat(contact_reply _greeting, const domain_name& _for = {});
 	/// @returns Whether this node is to keep itself registered in the store.
-	bool registers() const;
+	bool should_register() const;
 	/// @param[in] _homes Home regions of the host that the callers request.
 	/// @returns Nodes that callers of a region should use.
 	lookup_decision look_up(const region_name& _region, const std::vector<region_name>& _homes) const;
@@ -131,7 +131,7 @@
 	/// @param[in] _step Determines where the node may be: this failure domain, this region or anywhere.
 	/// @param[in] _draw Random seed; pass another value in each call.
 	const node_heartbeat* choose_page_source(copy_step _step, std::uint64_t _draw) const;
-	/// Logs nodes that have died or are live again, and removes nodes that have been silent for long.
+	/// Logs nodes that count as dead or are live again, and removes nodes that have been silent for long.
 	void tick();
 	/// @returns Interval between two heartbeats to the nodes of this failure domain.
 	std::chrono::milliseconds interval() const
@@ -139,7 +139,7 @@
 		return liveness().interval();
 	}
 
-	sharing sharers() const override
+	budget_sharing sharers() const override
 	{
 		return m_census.sharers();
 	}
@@ -233,7 +233,7 @@
 	std::map<domain_name, failure_domain_view> m_domains; ///< Failure domains that have other nodes.
 	/// Number of nodes at each address; more than one after an address was reused.
 	std::unordered_map<std::string, int> m_member_ips;
-	/// Candidate addresses at which no node was heard, with the number of heartbeats sent there.
+	/// Candidate addresses that sent no heartbeat yet, with the number of heartbeats sent there.
 	std::map<std::string, int> m_addresses;
 	node_count_maximum m_census;
 	mutable live_summary m_live;
--- a/src/entry_node/forwarded_request.cpp
+++ b/src/entry_node/forwarded_request.cpp
@@ -145,7 +145,7 @@
 		refuse(reason::no_headroom); // A free slot would not help: limits are used up.
 		return;
 	}
-	if (pause_exceeds_wait())
+	if (rest_exceeds_wait())
 	{
 		refuse(reason::resting);
 		return;
@@ -211,7 +211,7 @@
 	{
 		return;
 	}
-	++m_context.counters.left;
+	++m_context.counters.disconnected;
 	log_end(0, outcome::unknown, reason::none);
 	release();
 }
--- a/src/entry_node/forwarded_request_attempts.cpp
+++ b/src/entry_node/forwarded_request_attempts.cpp
@@ -92,7 +92,7 @@
 			{
 				if (backend_choice_reason::awaits_token != choice.why)
 				{
-					m_context.limits.give_back(*choice.backend);
+					m_context.limits.return_token(*choice.backend);
 				}
 				m_only_limited = false;
 				return false;
@@ -117,7 +117,7 @@
 	}
 	m_only_limited = !slot_may_free && !m_without_token.empty();
 	m_only_resting = !slot_may_free && steady_time{} != m_first_return_at;
-	if (state::queued == m_state && pause_exceeds_wait())
+	if (state::queued == m_state && rest_exceeds_wait())
 	{
 		refuse(reason::resting);
 		return true;
@@ -135,7 +135,7 @@
 	}
 }
 
-bool forwarded_request::pause_exceeds_wait() const
+bool forwarded_request::rest_exceeds_wait() const
 {
 	return m_only_resting && m_first_return_at > m_context.clock.steady() + max_slot_wait(m_route->objective);
 }
@@ -164,7 +164,7 @@
 	}
 	if (granted)
 	{
-		m_context.limits.give_back(*_backend);
+		m_context.limits.return_token(*_backend);
 	}
 	if (state::awaiting_token != m_state || end_if_deadline_over())
 	{
@@ -216,7 +216,7 @@
 	}
 	if (_result.withheld && backend->limit.limited())
 	{
-		m_context.limits.give_back(*backend);
+		m_context.limits.return_token(*backend);
 	}
 	if (state::ended == m_state)
 	{
--- a/src/entry_node/forwarded_request_customer.cpp
+++ b/src/entry_node/forwarded_request_customer.cpp
@@ -46,7 +46,7 @@
 	case quota_answer::granted:
 		route_and_send();
 		break;
-	case quota_answer::over:
+	case quota_answer::over_limit:
 		refuse_over_quota();
 		break;
 	case quota_answer::unknown:
@@ -60,7 +60,7 @@
 {
 	if (m_has_token && m_tried.empty())
 	{
-		m_context.quotas.give_back(*m_customer);
+		m_context.quotas.return_token(*m_customer);
 	}
 	m_has_token = false;
 }
--- a/src/entry_node/forwarded_request_p.h
+++ b/src/entry_node/forwarded_request_p.h
@@ -98,9 +98,9 @@
 	backend_choice choose_backend_in(const region_name& _region, service_steering& _steering);
 	/// Records why a region has no backend server for the request.
 	void note_no_backend(const backend_choice& _choice);
-	/// @returns Whether all candidates pause (Retry-After) and the first pause ends after the longest wait in
+	/// @returns Whether all candidates rest (Retry-After) and the first rest ends after the longest wait in
 	/// the queue.
-	bool pause_exceeds_wait() const;
+	bool rest_exceeds_wait() const;
 	/// Waits for a token of the backend server's limit.
 	void ask_for_token(const backend_ptr& _backend);
 	void on_token(const backend_ptr& _backend, quota_answer _answer);
@@ -128,7 +128,7 @@
 	void refuse_over_quota();
 	void finish_with(const final_response& _end);
 	void respond(caller_response&& _response, outcome _outcome, reason _reason);
-	/// Reports the end of an attempt that reached the backend server to the roll-outs.
+	/// Reports the end of an attempt that reached the backend server to the rollouts.
 	void report_attempt(const backend_server& _backend, attempt_end _end);
 	void log_failed_attempt(const backend_server& _backend, const char* _why);
 	void log_end(unsigned _status, outcome _outcome, reason _reason);
@@ -145,7 +145,7 @@
 	home_regions m_home_regions;
 	service_name m_service;
 	affinity_key m_key;
-	version_rule m_versions;       ///< Versions that it may go to during a roll-out.
+	version_rule m_versions;       ///< Versions that it may go to during a rollout.
 	region_choice m_region_choice; ///< Planned region; after an overflow, the region used.
 	steady_time m_arrived_at{};
 	steady_time m_sent_at{};
@@ -164,7 +164,7 @@
 	trial_state m_trial = trial_state::none;
 	bool m_has_token = false;        ///< Holds a token of the customer's quota.
 	bool m_only_limited = false;     ///< Last try_send() failed only because limits were used up.
-	bool m_only_resting = false;     ///< Last try_send() failed only because backend servers pause.
-	steady_time m_first_return_at{}; ///< Earliest end of these pauses; epoch: none pauses.
+	bool m_only_resting = false;     ///< Last try_send() failed only because backend servers rest.
+	steady_time m_first_return_at{}; ///< Earliest end of these rests; epoch: none rests.
 };
 } // namespace larkrack
--- a/src/entry_node/forwarder_p.h
+++ b/src/entry_node/forwarder_p.h
@@ -7,7 +7,7 @@
 /// Owns the requests, the queues of waiting requests and the steering state of each service. Feeds the
 /// decisions of src/steering with current figures at each tick, and logs changes of shares. Relies on
 /// backend_registry for the backend servers, on the fleet view for the other nodes, and on entry_node to call
-/// tick() and pump().
+/// tick() and retry_waiting_requests().
 #pragma once
 
 #include "entry_node/backend_limits_p.h"
@@ -38,7 +38,7 @@
 	std::uint64_t requests = 0;
 	std::uint64_t attempts = 0;       ///< Attempts at backend servers, retries included.
 	std::uint64_t retries_denied = 0; ///< Retries that the retry budget did not cover.
-	std::uint64_t left = 0;           ///< Callers that disconnected before their response.
+	std::uint64_t disconnected = 0;   ///< Callers that disconnected before their response.
 	std::uint64_t queued = 0;         ///< Waits of requests for a slot.
 };
 
@@ -73,7 +73,7 @@
 	std::shared_ptr<const routing_table> routes; ///< Configuration for new requests; null: none yet.
 	region_distances distances;
 	forwarder_counters counters;
-	loop_stall_detector gap; ///< Corrects arrival times after the event loop stood still.
+	loop_stall_detector gap; ///< Corrects arrival times after the event loop stalled.
 	bool stopping = false;   ///< New requests are refused.
 };
 
@@ -126,7 +126,7 @@
 	/// may run in one region only are included, and also listed apart under the name of pinned_requests_of().
 	rate_by_service_and_region sent_per_s() const;
 	/// @returns Reports of backend servers about themselves.
-	const backend_reports& words() const
+	const backend_reports& reports() const
 	{
 		return m_reports;
 	}
--- a/src/entry_node/limit_messages.cpp
+++ b/src/entry_node/limit_messages.cpp
@@ -16,7 +16,7 @@
 constexpr int k_limit_layout = 106;
 constexpr int k_request_layout = 107; ///< See above.
 constexpr int k_grant_layout = 108;   ///< See above.
-/// Fields: layout, instance of the backend server, number of tokens, rank of the lender or wait in
+/// Fields: layout, incarnation of the backend server, number of tokens, rank of the lender or wait in
 /// milliseconds, reported limit.
 constexpr std::size_t k_fields = 5;
 /// First byte of a CBOR array of k_fields elements; no other datagram between nodes begins with it.
@@ -95,7 +95,8 @@
 		count = grant->granted;
 		last = static_cast<std::uint64_t>(grant->wait.count());
 	}
-	const nlohmann::json document = {layout, _message.life, count, last, limit_to_json(_message.word, _now)};
+	const nlohmann::json document = {
+	    layout, _message.incarnation, count, last, limit_to_json(_message.report, _now)};
 	return nlohmann::json::to_cbor(document);
 }
 
@@ -119,7 +120,7 @@
 	const std::optional<limit_report> limit = limit_of_json(document[4], _now);
 	if (!limit || document[1].get<std::uint64_t>() > std::numeric_limits<std::uint32_t>::max())
 	{
-		return decode_error("invalid limit or backend server instance");
+		return decode_error("invalid limit or backend server incarnation");
 	}
 	limit_message message{document[1], *limit, {}};
 	const auto layout = document[0].get<std::uint64_t>();
@@ -127,11 +128,11 @@
 	const auto last = document[3].get<std::uint16_t>();
 	if (k_request_layout == layout && count >= 1 && last <= static_cast<int>(lender_rank::backup))
 	{
-		message.tokens = quota_request{message.life, count, static_cast<lender_rank>(last)};
+		message.tokens = quota_request{message.incarnation, count, static_cast<lender_rank>(last)};
 	}
 	else if (k_grant_layout == layout)
 	{
-		message.tokens = quota_grant{message.life, count, std::chrono::milliseconds(last)};
+		message.tokens = quota_grant{message.incarnation, count, std::chrono::milliseconds(last)};
 	}
 	else if (k_limit_layout != layout)
 	{
--- a/src/entry_node/limit_messages_p.h
+++ b/src/entry_node/limit_messages_p.h
@@ -23,9 +23,10 @@
 /// Message from one node to another about the limit of a backend server.
 struct limit_message
 {
-	std::uint32_t life = 0; ///< incarnation_hash() of the backend server.
-	limit_report word; ///< The reported limit; its time is in terms of the local clock of sender or receiver.
-	/// Request for tokens or the reply to one, with the instance in place of the customer. Neither: the
+	std::uint32_t incarnation = 0; ///< incarnation_hash() of the backend server.
+	limit_report
+	    report; ///< The reported limit; its time is in terms of the local clock of sender or receiver.
+	/// Request for tokens or the reply to one, with the incarnation in place of the customer. Neither: the
 	/// message carries the limit alone.
 	std::variant<std::monostate, quota_request, quota_grant> tokens;
 };
--- a/src/entry_node/packed_pages_p.h
+++ b/src/entry_node/packed_pages_p.h
@@ -40,7 +40,7 @@
 
 /// Cache of compressed responses to nodes that request changes. After an announcement a third of a region
 /// requests the same changes: compressing them for each of 110 nodes, when 89 backend servers leave, would
-/// take seconds on a node with a tenth of a core (worked out: 5 ms of a core each).
+/// take seconds on a node with a tenth of a core (computed: 5 ms of a core each).
 class packed_change_cache
 {
 public:
--- a/src/entry_node/rollouts.cpp
+++ b/src/entry_node/rollouts.cpp
@@ -13,7 +13,7 @@
 {
 /// Time between two reports to the deciding nodes. With a longer interval, a bad version serves
 /// requests for longer. A shorter one sends more datagrams (up to 1 KB each, from each node, during a
-/// roll-out).
+/// rollout).
 constexpr std::chrono::milliseconds k_report_interval{500};
 /// Time after which the write of a state that did not take effect is repeated.
 constexpr std::chrono::milliseconds k_write_retry{1000};
@@ -209,8 +209,8 @@
 	{
 		return decider_rank::first;
 	}
-	const bool is_stand_in = 0 != _deciders.backup.name_hash && _deciders.backup.ip.empty();
-	return is_stand_in ? decider_rank::backup : decider_rank::none;
+	const bool is_backup = 0 != _deciders.backup.name_hash && _deciders.backup.ip.empty();
+	return is_backup ? decider_rank::backup : decider_rank::none;
 }
 
 void rollouts::report(rollout& _rollout, const responsible_nodes& _deciders)
--- a/src/entry_node/token_exchange.cpp
+++ b/src/entry_node/token_exchange.cpp
@@ -46,9 +46,9 @@
 	schedule_wake();
 }
 
-void token_exchange::give_back(const quota_subject& _subject)
+void token_exchange::return_token(const quota_subject& _subject)
 {
-	m_borrower.give_back(_subject, m_clock.steady());
+	m_borrower.return_token(_subject, m_clock.steady());
 }
 
 void token_exchange::request_tokens(const quota_subject& _subject)
@@ -60,7 +60,8 @@
 	}
 	const auto waiting = m_waiting.find(_subject.id);
 	const std::size_t count = m_waiting.end() == waiting ? 0 : waiting->second.size();
-	const auto request = m_borrower.due(_subject, lender_hashes(holders), count, m_clock.steady());
+	const auto request =
+	    m_borrower.next_borrow_request(_subject, lender_hashes(holders), count, m_clock.steady());
 	if (!request)
 	{
 		return;
@@ -92,8 +93,8 @@
 		quota_answer answer = m_borrower.retry_take(_subject, lenders, now);
 		if (quota_answer::waits == answer && now >= request->until)
 		{
-			answer =
-			    m_borrower.is_unresponsive(lenders.first, now) ? quota_answer::unknown : quota_answer::over;
+			answer = m_borrower.is_unresponsive(lenders.first, now) ? quota_answer::unknown
+			                                                        : quota_answer::over_limit;
 		}
 		if (quota_answer::waits == answer)
 		{
@@ -110,7 +111,7 @@
 	// The handlers run last, since they may call this function again.
 	for (const auto& [handler, answer] : decided)
 	{
-		if (quota_answer::over == answer)
+		if (quota_answer::over_limit == answer)
 		{
 			m_owner.on_refused(_subject.id);
 		}
@@ -131,12 +132,12 @@
 	    {
 		    if (!_error)
 		    {
-			    wake();
+			    check_waiting();
 		    }
 	    });
 }
 
-void token_exchange::wake()
+void token_exchange::check_waiting()
 {
 	m_wake_scheduled = false;
 	std::vector<std::uint64_t> ids;
@@ -186,16 +187,16 @@
 	}
 	const responsible_nodes holders = m_owner.responsible_for(subject->id);
 	const bool from_first = _sender_ip == holders.first.ip;
-	const bool from_stand_in = !from_first && _sender_ip == holders.backup.ip;
-	if (from_stand_in && is_redirect(_grant))
+	const bool from_backup = !from_first && _sender_ip == holders.backup.ip;
+	if (from_backup && is_redirect(_grant))
 	{
 		m_borrower.on_redirect(_grant, holders.first.name_hash);
 	}
 	else
 	{
-		const std::uint32_t lender = from_first      ? holders.first.name_hash
-		                             : from_stand_in ? holders.backup.name_hash
-		                                             : 0;
+		const std::uint32_t lender = from_first    ? holders.first.name_hash
+		                             : from_backup ? holders.backup.name_hash
+		                                           : 0;
 		m_borrower.on_grant(_grant, lender, m_clock.steady());
 	}
 	decide_waiting(*subject);
@@ -236,7 +237,7 @@
 			const std::optional<quota_subject> subject = m_owner.find_subject(id);
 			if (quota_answer::granted == _answer && subject)
 			{
-				give_back(*subject);
+				return_token(*subject);
 			}
 		};
 		waiting.push_back({return_if_granted, m_clock.steady() + m_max_wait});
--- a/src/entry_node/token_exchange_p.h
+++ b/src/entry_node/token_exchange_p.h
@@ -30,7 +30,7 @@
 	virtual ~token_owner_base() = default;
 	/// @returns The limit with that id; nothing when there is none.
 	virtual std::optional<quota_subject> find_subject(std::uint64_t _id) const = 0;
-	/// @returns The nodes that lend tokens of the limit: the first lender and its stand-in.
+	/// @returns The nodes that lend tokens of the limit: the first lender and its backup.
 	virtual responsible_nodes responsible_for(std::uint64_t _id) const = 0;
 	virtual void send(const quota_message& _message, const std::string& _ip) = 0;
 	/// Called for each request that waited for a token and is above the limit.
@@ -55,7 +55,7 @@
 	/// @param[in] _decided Called once, immediately or later, and never with quota_answer::waits.
 	void wait(const quota_subject& _subject, handler _decided);
 	/// Returns the token of a request that reached no backend server.
-	void give_back(const quota_subject& _subject);
+	void return_token(const quota_subject& _subject);
 	/// Adjusts the borrowed tokens to a limit that was lowered.
 	/// @param[in] _part New limit divided by the old one.
 	void on_limit_lowered(std::uint64_t _id, double _part)
@@ -74,7 +74,7 @@
 	void tick(const live_node_counts& _nodes);
 	/// Asks again for tokens for waiting requests, and ends waits that are over. Called by a timer while any
 	/// request waits.
-	void wake();
+	void check_waiting();
 
 private:
 	/// A request that waits for a token, or a probe of the first lender.
--- a/src/steering/backend_choice.cpp
+++ b/src/steering/backend_choice.cpp
@@ -183,7 +183,7 @@
 		return quota_answer::granted;
 	}
 	const quota_answer answer = _query.tokens->take(_backend);
-	return quota_answer::waits == answer && !_query.may_wait_for_token ? quota_answer::over : answer;
+	return quota_answer::waits == answer && !_query.may_wait_for_token ? quota_answer::over_limit : answer;
 }
 } // namespace
 
--- a/src/steering/backend_choice_p.h
+++ b/src/steering/backend_choice_p.h
@@ -11,17 +11,15 @@
 /// (connections; requests per second of a cold backend server); the number of nodes; and the backend servers
 /// that this request was already sent to.
 ///
-/// Rule: usable backend servers of the region whose version takes part (rollout_p.h) are ranked: for a key by
-/// rendezvous hashing, otherwise by load (requests per slot, lowest first). For large responses, backend
-/// servers outside the node's failure domain come last. The first backend server in this order that passes
-/// all of these checks gets the request:
+/// Algorithm: usable backend servers of the region whose version takes part (rollout_p.h) are ranked: for a
+/// key by rendezvous hashing, otherwise by load (requests per slot, lowest first). For large responses,
+/// backend servers outside the node's failure domain come last. The first backend server in this order that
+/// passes all of these checks gets the request:
 /// - affinity: a key uses its first `k_min_backends_per_key + ceil(k_backends_per_key_share * fraction *
-/// servers)`
-///   backend servers, and others only while they are nearly idle (k_max_idle_load of their slots);
+///   servers)` backend servers, and others only while they are nearly idle (k_max_idle_load of their slots);
 /// - not already tried by this request;
-/// - a free slot: fewer requests than slots (k_preferred_depth times the slots at the first backend server of
-/// a
-///   key), or fewer requests of this node than its own portion of the slots;
+/// - a free slot: fewer requests than slots (k_preferred_depth times the slots at the first backend server
+///   of a key), or fewer requests of this node than its own portion of the slots;
 /// - a connection: an idle one, or fewer than this node's share of the connection limit;
 /// - slow start: a cold backend server gets requests only from nodes of its own region, within a token bucket
 ///   at this node's share of the warm-up rate (shared_budgets_p.h);
@@ -29,7 +27,7 @@
 /// - a token, if the backend server reports a limit (backend_limit_p.h). A backend server without a token is
 ///   replaced by the next one in the order. Requests without a key use backend servers with a limit last.
 ///
-/// Alternatives considered (docs/DESIGN.md):
+/// Alternatives (docs/DESIGN.md):
 /// - load reports of backend servers alone, without own portions of the slots: worth of a loaded day 0.147
 ///   compared to 0.309;
 /// - a key on two or three backend servers 0.55, on one unless its share needs more 0.72;
@@ -118,11 +116,12 @@
 	slot_portion own_portion;           ///< Slots that are reserved for this node, whatever other nodes send.
 	double region_requests_per_s = 0.0; ///< Requests per second that this node sends to the region.
 	service_limits limits;
-	sharing sharers;                                ///< Nodes that share the connection limit.
-	const std::vector<backend_id>* tried = nullptr; ///< Those that already got this request.
-	version_rule versions;                          ///< Versions that take part during a rollout.
-	limit_tokens_base* tokens = nullptr;            ///< Null: limits are not enforced.
-	bool may_wait_for_token = false;                ///< Whether the request may wait for a token.
+	budget_sharing sharers; ///< Nodes that share the connection limit.
+	const std::vector<backend_id>* tried =
+	    nullptr;                         ///< Backend servers that this request was already sent to.
+	version_rule versions;               ///< Versions that take part during a rollout.
+	limit_tokens_base* tokens = nullptr; ///< Null: limits are not enforced.
+	bool may_wait_for_token = false;     ///< Whether the request may wait for a token.
 	/// Backend servers whose limit had no token for this request. choose_backend() adds those it finds, so
 	/// that no token is requested twice.
 	std::vector<backend_id>* without_token = nullptr;
--- a/src/steering/backend_limit.cpp
+++ b/src/steering/backend_limit.cpp
@@ -40,14 +40,14 @@
 	return limit_report{std::max(k_min_limit_per_s, per_s), _now};
 }
 
-bool reported_limit::hear(const limit_report& _word)
+bool reported_limit::take_report(const limit_report& _report)
 {
-	if (_word.report_time < m_word.report_time)
+	if (_report.report_time < m_report.report_time)
 	{
 		return false;
 	}
-	const bool changes = _word.per_s != m_word.per_s;
-	m_word = _word;
+	const bool changes = _report.per_s != m_report.per_s;
+	m_report = _report;
 	return changes;
 }
 } // namespace larkrack
--- a/src/steering/backend_limit_p.h
+++ b/src/steering/backend_limit_p.h
@@ -12,13 +12,13 @@
 /// retry, or a request of a sticky session. One node of the backend server's region lends the tokens
 /// (quota_p.h).
 ///
-/// Alternatives considered, in limit_model_test: a share of 1/n for each node, and a single node that sends
+/// Alternatives (limit_model_test): a share of 1/n for each node, and a single node that sends
 /// to a limited backend server. Both lose most of a limit where many nodes send few requests each
 /// (docs/CAPACITY.md).
 ///
-/// Rule: the newest report holds, whether it states a limit or none. A header value that is not a number, or
-/// is negative, is ignored: the previous report stays in force. A value above k_max_limit_per_s counts as no
-/// limit. A value below k_min_limit_per_s, including 0, counts as k_min_limit_per_s: without an
+/// Algorithm: the newest report holds, whether it states a limit or none. A header value that is not a
+/// number, or is negative, is ignored: the previous report stays in force. A value above k_max_limit_per_s
+/// counts as no limit. A value below k_min_limit_per_s, including 0, counts as k_min_limit_per_s: without an
 /// occasional request no node would learn that the limit has ended.
 ///
 /// Relies on backend_registry to create a new object for each incarnation of a backend server, so that a
@@ -80,18 +80,18 @@
 public:
 	/// Takes a report, unless a newer one is known.
 	/// @returns Whether the limit changes.
-	bool hear(const limit_report& _word);
+	bool take_report(const limit_report& _report);
 	/// @returns Whether a limit is in force.
 	bool limited() const
 	{
-		return m_word.per_s.has_value();
+		return m_report.per_s.has_value();
 	}
-	const limit_report& word() const
+	const limit_report& report() const
 	{
-		return m_word;
+		return m_report;
 	}
 
 private:
-	limit_report m_word;
+	limit_report m_report;
 };
 } // namespace larkrack
--- a/src/steering/backend_rest.cpp
+++ b/src/steering/backend_rest.cpp
@@ -24,7 +24,7 @@
 	return std::chrono::ceil<steady_time::duration>(std::min(rest, longest));
 }
 
-bool backend_rest::hear(steady_time::duration _rest, steady_time _now)
+bool backend_rest::take_report(steady_time::duration _rest, steady_time _now)
 {
 	if (_now + _rest <= std::max(m_until, _now))
 	{
--- a/src/steering/backend_rest_p.h
+++ b/src/steering/backend_rest_p.h
@@ -9,9 +9,9 @@
 /// be sent. Inputs: the retry time of responses that refused a request of this node; the time (a clock that
 /// includes suspensions); the requests per second that are this node's even share for one backend server.
 ///
-/// Rule: a rest starts when its response was read, which is never earlier than it was sent, so that the rest
-/// never ends too early. Of several rests the one that ends last holds: neither a shorter rest that is read
-/// later nor the response to a request in flight ends it. A value that is not a number of seconds, or is
+/// Algorithm: a rest starts when its response was read, which is never earlier than it was sent, so that the
+/// rest never ends too early. Of several rests the one that ends last holds: neither a shorter rest that is
+/// read later nor the response to a request in flight ends it. A value that is not a number of seconds, or is
 /// negative, is ignored: the previous rest stays in force. A rest above k_max_rest is cut to
 /// k_max_rest: no backend server needs more, and a mistaken value must not disable one for good.
 ///
@@ -57,7 +57,7 @@
 public:
 	/// Takes a rest that the backend server asked for.
 	/// @returns Whether the end of the rest moves to a later time.
-	bool hear(steady_time::duration _rest, steady_time _now);
+	bool take_report(steady_time::duration _rest, steady_time _now);
 	/// @returns Whether no requests may be sent now.
 	bool resting(steady_time _now) const
 	{
--- a/src/steering/crash_evidence.cpp
+++ b/src/steering/crash_evidence.cpp
@@ -14,25 +14,25 @@
 template <typename Condition>
 std::size_t distinct_backends(const std::deque<crash_record>& _ends, Condition _condition)
 {
-	std::set<std::uint32_t> lives;
+	std::set<std::uint32_t> incarnations;
 	for (const crash_record& one : _ends)
 	{
 		if (_condition(one))
 		{
-			lives.insert(one.life);
+			incarnations.insert(one.incarnation);
 		}
 	}
-	return lives.size();
+	return incarnations.size();
 }
 
-bool counts_for_all(const crash_record& _end)
+bool counts_for_all(const crash_record& _crash)
 {
-	return !_end.caller_only;
+	return !_crash.caller_only;
 }
 } // namespace
 
 std::optional<request_fingerprint> crash_evidence::on_crash(
-    const request_fingerprint& _request, const crash_record& _end)
+    const request_fingerprint& _request, const crash_record& _crash)
 {
 	const auto [it, is_new] = m_by_content.try_emplace(_request.content);
 	suspect& found = it->second;
@@ -42,25 +42,25 @@
 		++m_heads[_request.head];
 		m_order.push_back(_request.content);
 	}
-	const bool already_counted = std::any_of(found.ends.begin(), found.ends.end(),
-	    [&_end](const crash_record& _other)
+	const bool already_counted = std::any_of(found.crashes.begin(), found.crashes.end(),
+	    [&_crash](const crash_record& _other)
 	    {
-		    return _other.life == _end.life && _other.caller == _end.caller;
+		    return _other.incarnation == _crash.incarnation && _other.caller == _crash.caller;
 	    });
 	if (!already_counted)
 	{
-		found.ends.push_back(_end);
+		found.crashes.push_back(_crash);
 	}
-	if (found.ends.size() > k_max_crashes_per_request)
+	if (found.crashes.size() > k_max_crashes_per_request)
 	{
-		found.ends.pop_front();
+		found.crashes.pop_front();
 	}
 	std::optional<request_fingerprint> blamed;
 	if (crash_count(_request) >= k_crashes_to_block)
 	{
 		blamed = _request;
 	}
-	else if (distinct_backends(found.ends, counts_for_all) >= k_crashes_to_block)
+	else if (distinct_backends(found.crashes, counts_for_all) >= k_crashes_to_block)
 	{
 		blamed = request_fingerprint{_request.head, _request.content, k_any_caller};
 	}
@@ -79,18 +79,18 @@
 		return;
 	}
 	// A request that is served for one caller may still crash servers for another caller, but not for all.
-	std::deque<crash_record>& ends = it->second.ends;
-	ends.erase(std::remove_if(ends.begin(), ends.end(),
-	               [&_request](const crash_record& _end)
-	               {
-		               return k_any_caller == _request.caller || _end.caller == _request.caller;
-	               }),
-	    ends.end());
-	for (crash_record& one : ends)
+	std::deque<crash_record>& crashes = it->second.crashes;
+	crashes.erase(std::remove_if(crashes.begin(), crashes.end(),
+	                  [&_request](const crash_record& _crash)
+	                  {
+		                  return k_any_caller == _request.caller || _crash.caller == _request.caller;
+	                  }),
+	    crashes.end());
+	for (crash_record& one : crashes)
 	{
 		one.caller_only = true;
 	}
-	if (ends.empty())
+	if (crashes.empty())
 	{
 		forget(it);
 	}
@@ -103,10 +103,10 @@
 	{
 		return 0;
 	}
-	return distinct_backends(it->second.ends,
-	    [&_request](const crash_record& _end)
+	return distinct_backends(it->second.crashes,
+	    [&_request](const crash_record& _crash)
 	    {
-		    return _end.caller == _request.caller;
+		    return _crash.caller == _request.caller;
 	    });
 }
 
@@ -115,12 +115,12 @@
 	for (auto it = m_by_content.begin(); it != m_by_content.end();)
 	{
 		const auto next = std::next(it);
-		std::deque<crash_record>& ends = it->second.ends;
-		while (!ends.empty() && _now - ends.front().at > k_crash_retention)
+		std::deque<crash_record>& crashes = it->second.crashes;
+		while (!crashes.empty() && _now - crashes.front().at > k_crash_retention)
 		{
-			ends.pop_front();
+			crashes.pop_front();
 		}
-		if (ends.empty())
+		if (crashes.empty())
 		{
 			forget(it);
 		}
--- a/src/steering/crash_evidence_p.h
+++ b/src/steering/crash_evidence_p.h
@@ -7,15 +7,15 @@
 /// Inputs: crashes of backend servers, each with the requests that were running there, as seen by any node;
 /// requests that were served.
 ///
-/// Rule: a request is blamed once k_crashes_to_block backend servers have crashed while running it, unless it
-/// was served meanwhile. Requests are identified by their fingerprint: first for one caller, and if several
-/// callers have sent the same request, for all callers. A crash that several nodes report counts once,
-/// whoever reports it first.
+/// Algorithm: a request is blamed once k_crashes_to_block backend servers have crashed while running it,
+/// unless it was served meanwhile. Requests are identified by their fingerprint: first for one caller, and if
+/// several callers have sent the same request, for all callers. A crash that several nodes report counts
+/// once, whoever reports it first.
 ///
 /// A crash takes all requests of a backend server with it, so an innocent request that ran beside the faulty
 /// one three times in a row may be blamed. It is cleared when it is let through alone (blocked_requests_p.h).
 ///
-/// Alternative considered: blaming a request by the fraction of its runs that ended in a crash needs a digest
+/// Alternative: blaming a request by the fraction of its runs that ended in a crash needs a digest
 /// of each request that is served; with this rule nothing is computed while no backend server crashes.
 ///
 /// Relies on one node counting for the whole fleet (crash_guard), so that three nodes that each saw one crash
@@ -47,7 +47,7 @@
 /// Crash of a backend server that was running a request.
 struct crash_record
 {
-	std::uint32_t life = 0; ///< incarnation_hash() of the backend server.
+	std::uint32_t incarnation = 0; ///< incarnation_hash() of the backend server.
 	std::uint32_t caller = k_any_caller;
 	bool caller_only = false; ///< Other callers were recently served the same request: the crash counts
 	                          ///< against this caller only.
@@ -61,7 +61,7 @@
 	/// Records the crash of a backend server that was running a request.
 	/// @returns The request that is blamed now, for its caller or for all callers; nothing: none yet.
 	std::optional<request_fingerprint> on_crash(
-	    const request_fingerprint& _request, const crash_record& _end);
+	    const request_fingerprint& _request, const crash_record& _crash);
 	/// Records that a request was served: earlier crashes of it for that caller no longer count.
 	void on_served(const request_fingerprint& _request);
 	/// @returns Number of backend servers that crashed while running this caller's request.
@@ -82,7 +82,7 @@
 	struct suspect
 	{
 		std::uint64_t head = 0;
-		std::deque<crash_record> ends; ///< In order of their reports.
+		std::deque<crash_record> crashes; ///< In order of their reports.
 	};
 	void forget(std::map<std::uint64_t, suspect>::iterator _suspect);
 
--- a/src/steering/fleet_view_p.h
+++ b/src/steering/fleet_view_p.h
@@ -40,7 +40,7 @@
 {
 public:
 	/// @returns Nodes that share the budgets.
-	virtual sharing sharers() const = 0;
+	virtual budget_sharing sharers() const = 0;
 	/// @returns Requests per second for a service, by region of the nodes that received them; without this
 	/// node.
 	virtual rate_by_region demand_of_others(const service_name& _service) const = 0;
--- a/src/steering/lookup_answer_p.h
+++ b/src/steering/lookup_answer_p.h
@@ -13,7 +13,7 @@
 /// responding node selects its own subset (rendezvous hashing), so that the callers of a large region spread
 /// over all nodes: of 98 nodes, the first 64 by name had all callers and the others none.
 ///
-/// Relies on node_liveness for the live nodes. A node that died is listed until its timeout
+/// Relies on node_liveness for the live nodes. A node that crashed is listed until its timeout
 /// (liveness_timeout), and used by callers for the time to live of the response in addition.
 #pragma once
 
--- a/src/steering/loop_gap_p.h
+++ b/src/steering/loop_gap_p.h
@@ -9,8 +9,8 @@
 ///
 /// Algorithm: if no iteration occurred for longer, everything that is read within k_backlog after the stall
 /// may have arrived at any moment of it, and counts as arrived at its start. The caller has waited since
-/// then; a timeout counted from the read would outlast the caller's own, and a backend server would work for
-/// nobody.
+/// then; a timeout counted from the read would outlast the caller's own, and a backend server would run a
+/// request that no caller awaits.
 ///
 /// Relies on a clock that includes the time of a suspension.
 #pragma once
--- a/src/steering/node_liveness.cpp
+++ b/src/steering/node_liveness.cpp
@@ -20,7 +20,7 @@
 /// Shorter: more processor time of each node and, beyond the failure domain, more bytes.
 constexpr std::chrono::milliseconds k_heartbeat_interval_per_node{12};
 /// A node of another region gets one of this many heartbeats that a node of the same region gets. Higher
-/// values: the death of a far node is detected later. Lower values: more bytes between regions; with 1,
+/// values: the crash of a far node is detected later. Lower values: more bytes between regions; with 1,
 /// heartbeats were half of all bytes between regions of 12 nodes.
 constexpr int k_far_heartbeat_divisor = 4;
 /// Of this many heartbeat cycles over all nodes, one includes the addresses of other nodes, so that each node
@@ -56,7 +56,8 @@
 /// for longer. Lower values: a node that stalls for a moment is removed.
 constexpr int k_report_timeout_half_intervals = 5;
 /// Maximum number of nodes of the failure domain that one heartbeat reports. Higher values: larger datagrams
-/// (7 bytes each). Lower values: deaths are detected later. All nodes of a failure domain of 33 are reported.
+/// (7 bytes each). Lower values: crashes are detected later. All nodes of a failure domain of 33 are
+/// reported.
 constexpr std::size_t k_max_told_neighbours = 32;
 /// Minimum timeout of a node, milliseconds. Longer: lookups list a dead node for longer. Shorter: a node that
 /// gets no processor time for a moment counts as dead.
@@ -110,7 +111,7 @@
 	return k_far_heartbeat_divisor * region_divisor;
 }
 
-bool node_liveness::is_turn(
+bool node_liveness::is_heartbeat_due(
     const node_name& _sender, const node_name& _node, std::uint64_t _sequence, proximity _where) const
 {
 	const std::uint64_t offset = rendezvous_weight(_node.text, rendezvous_weight(_sender.text, 0));
--- a/src/steering/node_liveness_p.h
+++ b/src/steering/node_liveness_p.h
@@ -8,11 +8,11 @@
 /// node; the number of nodes of its failure domain that can report it; the time since its last sign of life;
 /// the sequence number of the own heartbeat; the incarnation and sequence number of a received heartbeat.
 ///
-/// Rule (heartbeats with a timeout, and neighbour reports within failure domains):
+/// Algorithm (heartbeats with a timeout, and neighbour reports within failure domains):
 /// - Nodes of a failure domain send each other heartbeats at an interval that grows with the size of the
-///   failure domain. Other nodes of the region get one of rounds() heartbeats, so that the number of
-///   datagrams per second that a node receives does not grow with the fleet; nodes of other regions get one
-///   of k_far_heartbeat_divisor times as many. The schedule differs by sender and receiver.
+///   failure domain. Other nodes of the region get one of heartbeat_divisor() heartbeats, so that the number
+///   of datagrams per second that a node receives does not grow with the fleet; nodes of other regions get
+///   one of k_far_heartbeat_divisor times as many. The schedule differs by sender and receiver.
 /// - Where other nodes receive a node's heartbeats less often than its own failure domain does, each
 ///   heartbeat reports the live nodes of its sender's failure domain and how long ago each was heard. Since
 ///   every node of a failure domain sends such reports, the state of one node is received many times as often
@@ -25,19 +25,19 @@
 ///   (domain_digest_p.h); heartbeats to other failure domains are then k_digest_heartbeat_divisor times less
 ///   frequent, and only rediscover nodes after a network partition.
 ///
-/// Purpose: nodes that die, are partitioned or stop in a fleet of hundreds, where callers that are sent to a
-/// dead node wait a second for each connection. With 295 nodes in 9 failure domains a dead node of the region
-/// counts as dead after 3.0 s instead of 11.8 s and a dead node of another region after 6.2 s instead of 47
-/// s, with two thirds of the datagrams between failure domains (computed; simulated by the model of a fleet
-/// in the tests).
+/// Purpose: nodes that crash, are partitioned or stop in a fleet of hundreds, where callers that are sent to
+/// a dead node wait a second for each connection. With 295 nodes in 9 failure domains a dead node of the
+/// region counts as dead after 3.0 s instead of 11.8 s and a dead node of another region after 6.2 s instead
+/// of 47 s, with two thirds of the datagrams between failure domains (computed; simulated by the model of a
+/// fleet in the tests).
 ///
 /// Scaling: the number of datagrams that a node sends is constant (computed: 35 per second with 9 nodes, 116
-/// with 295 and with 7,776, of them 83 within the failure domain); the time until a death is detected grows
+/// with 295 and with 7,776, of them 83 within the failure domain); the time until a crash is detected grows
 /// with the size of a failure domain (60 ms per node) and, more slowly, of the fleet (4 ms per node in the
 /// region, 15 ms in others); a heartbeat grows by 7 bytes for each node of the failure domain, for at most 32
 /// nodes.
 ///
-/// Alternatives considered:
+/// Alternatives:
 /// - heartbeats to far nodes as often as to near ones: bytes between regions cost, and the state of far nodes
 ///   is outdated on arrival;
 /// - an interval by the size of the whole fleet: the figures above;
@@ -83,7 +83,7 @@
 	int heartbeat_divisor(proximity _where) const;
 	/// The schedule also differs by sender, so that the reports of a failure domain are spread over time.
 	/// @returns Whether a node gets the heartbeat with this sequence number.
-	bool is_turn(
+	bool is_heartbeat_due(
 	    const node_name& _sender, const node_name& _node, std::uint64_t _sequence, proximity _where) const;
 	/// @returns Whether the heartbeat with this sequence number includes the addresses of other nodes.
 	bool includes_addresses(std::uint64_t _sequence) const;
--- a/src/steering/quota_borrower.cpp
+++ b/src/steering/quota_borrower.cpp
@@ -75,7 +75,7 @@
 	}
 	if (refuses_at_once(entry, _now))
 	{
-		return quota_answer::over;
+		return quota_answer::over_limit;
 	}
 	return spend_fallback(entry, _subject, _nodes, _now) ? quota_answer::granted : quota_answer::waits;
 }
@@ -97,7 +97,7 @@
 	}
 	if (_now < entry.pause_until && entry.over_limit)
 	{
-		return quota_answer::over;
+		return quota_answer::over_limit;
 	}
 	const bool none_responds = is_unresponsive(_lenders.first, _now) &&
 	                           (0 == _lenders.backup || is_unresponsive(_lenders.backup, _now));
@@ -137,7 +137,7 @@
 	return true;
 }
 
-void quota_borrower::give_back(const quota_subject& _subject, steady_time _now)
+void quota_borrower::return_token(const quota_subject& _subject, steady_time _now)
 {
 	const auto it = m_accounts.find(_subject.id);
 	if (m_accounts.end() != it && _now < it->second.expires_at)
@@ -166,7 +166,7 @@
 	}
 }
 
-std::optional<quota_request> quota_borrower::due(
+std::optional<quota_request> quota_borrower::next_borrow_request(
     const quota_subject& _subject, const quota_lenders& _lenders, std::size_t _waiting, steady_time _now)
 {
 	account& entry = decayed_account(_subject.id, _now);
--- a/src/steering/quota_borrower_p.h
+++ b/src/steering/quota_borrower_p.h
@@ -12,22 +12,20 @@
 ///
 /// Algorithm:
 /// - A node borrows the tokens that it needs for k_borrow_horizon at the customer's current rate here, as
-/// soon as
-///   half of them are used. A need of less than one token is borrowed when a request arrives; that request
-///   waits for the answer, one round trip.
+///   soon as half of them are used. A need of less than one token is borrowed when a request arrives; that
+///   request waits for the answer, one round trip.
 /// - After a refusal the node pauses before its next borrow request. Meanwhile requests wait if the lender
 ///   expects the shortage to be short (k_max_shortage_wait), and are refused at once if the customer is far
 ///   above its limit.
 /// - A lender without any answer for k_lender_unresponsive_after while borrow requests are open is skipped
-/// for
-///   k_lender_skip_time, for all of its customers, and the backup lender is asked. The backup lender lends if
-///   the first lender does not answer it either; otherwise it redirects the node to the first lender.
-/// - Each node owns a share of k_fallback_overage_fraction of the overage and of k_fallback_slack_fraction of
-/// the slack, its
-///   fallback allowance. A request that would have to wait uses the allowance instead, and the next borrowed
-///   tokens refill it; while no lender answers, the allowance is all that the node may admit. Fractions of a
-///   request are rounded up at some nodes, selected by the hash of the node's name. A node that started
-///   within the window has no allowance: it does not know what it used before its restart.
+///   for k_lender_skip_time, for all of its customers, and the backup lender is asked. The backup lender
+///   lends if the first lender does not answer it either; otherwise it redirects the node to the first
+///   lender.
+/// - Each node owns a share of k_fallback_overage_fraction of the overage and of k_fallback_slack_fraction
+///   of the slack, its fallback allowance. A request that would have to wait uses the allowance instead, and
+///   the next borrowed tokens refill it; while no lender answers, the allowance is all that the node may
+///   admit. Fractions of a request are rounded up at some nodes, selected by the hash of the node's name. A
+///   node that started within the window has no allowance: it does not know what it used before its restart.
 /// - Tokens that were not used for quota_bounds::token_lifetime expire: the lender has given their time to
 ///   other nodes.
 ///
@@ -36,7 +34,8 @@
 /// Owns one account of about 120 bytes for each customer with a request here in the last
 /// k_account_idle_timeout.
 ///
-/// Relies on its owner to send the borrow requests that due() returns and to pass in the answers.
+/// Relies on its owner to send the borrow requests that next_borrow_request() returns and to pass in the
+/// answers.
 #pragma once
 
 #include "steering/quota_p.h"
@@ -96,10 +95,10 @@
 	/// Checks again whether a waiting request may proceed.
 	quota_answer retry_take(const quota_subject& _subject, const quota_lenders& _lenders, steady_time _now);
 	/// Returns the token of a request that reached no backend server.
-	void give_back(const quota_subject& _subject, steady_time _now);
+	void return_token(const quota_subject& _subject, steady_time _now);
 	/// @param[in] _waiting Number of requests that wait for a token.
 	/// @returns The borrow request to send now; nothing when none is due.
-	std::optional<quota_request> due(
+	std::optional<quota_request> next_borrow_request(
 	    const quota_subject& _subject, const quota_lenders& _lenders, std::size_t _waiting, steady_time _now);
 	/// @returns Whether a lender recently left borrow requests of this node without any answer.
 	bool is_unresponsive(std::uint32_t _lender, steady_time _now) const;
--- a/src/steering/quota_p.h
+++ b/src/steering/quota_p.h
@@ -47,10 +47,10 @@
 /// Outcome for a request that needs a token.
 enum class quota_answer
 {
-	granted, ///< The request has a token.
-	waits,   ///< The request waits for the lender's answer.
-	over,    ///< The customer is above its limit.
-	unknown, ///< No lender is responsive.
+	granted,    ///< The request has a token.
+	waits,      ///< The request waits for the lender's answer.
+	over_limit, ///< The customer is above its limit.
+	unknown,    ///< No lender is responsive.
 };
 
 /// The lender that a node asks.
--- a/src/steering/region_distances_p.h
+++ b/src/steering/region_distances_p.h
@@ -13,7 +13,7 @@
 /// that became longer is learned slowly. A region is near enough while the estimate is at most
 /// k_max_rtt_fraction of the objective, or while there is no estimate.
 ///
-/// Alternatives: without a bound, the way to a far region could use up the objective.
+/// Alternatives: without a bound, the round trip to a far region could use up the objective.
 ///
 /// Owns one estimate for each region. Relies on upstream_exchange to measure the connect times.
 #pragma once
--- a/src/steering/region_plan.cpp
+++ b/src/steering/region_plan.cpp
@@ -21,7 +21,7 @@
 			if (backend->limit.limited())
 			{
 				// The backend server's own limit admits fewer requests than would fill its slots.
-				slots = std::min(slots, *backend->limit.word().per_s * _rates.service_time_s);
+				slots = std::min(slots, *backend->limit.report().per_s * _rates.service_time_s);
 			}
 			figures[backend->region].capacity += slots;
 			capacity += slots;
--- a/src/steering/shared_budgets.cpp
+++ b/src/steering/shared_budgets.cpp
@@ -24,7 +24,7 @@
 	m_max_in_region = std::max(m_max_in_region, _in_region);
 }
 
-double connections_of_node(int _limit, const sharing& _sharing)
+double connections_of_node(int _limit, const budget_sharing& _sharing)
 {
 	return std::max(1.0, _limit / _sharing.nodes);
 }
--- a/src/steering/shared_budgets_p.h
+++ b/src/steering/shared_budgets_p.h
@@ -28,7 +28,7 @@
 namespace larkrack
 {
 /// Number of nodes that share a budget.
-struct sharing
+struct budget_sharing
 {
 	double nodes = 1.0; ///< Number of nodes, in all regions.
 };
@@ -40,7 +40,7 @@
 	/// Updates the maxima with the number of nodes seen now.
 	void on_nodes_counted(std::size_t _nodes, std::size_t _in_region);
 	/// @returns Number of nodes that share the budgets.
-	sharing sharers() const
+	budget_sharing sharers() const
 	{
 		return {static_cast<double>(m_max_nodes)};
 	}
@@ -57,7 +57,7 @@
 
 /// @param[in] _limit Connections that one backend server accepts from all nodes; more than 0.
 /// @returns Connections that this node may hold to it; at least 1.
-double connections_of_node(int _limit, const sharing& _sharing);
+double connections_of_node(int _limit, const budget_sharing& _sharing);
 
 /// Reason for a node's share of the rate of a cold backend server.
 enum class warmup_reason
--- a/src/steering/state_copy_p.h
+++ b/src/steering/state_copy_p.h
@@ -21,16 +21,16 @@
 ///   come.
 /// - A node sends pages at k_page_bytes_per_s: the rest of its link is for callers.
 ///
-/// Patterns: a start of all nodes at once, and nodes that join. With 986 nodes and 10,002 backend servers a
+/// Purpose: a start of all nodes at once, and nodes that join. With 986 nodes and 10,002 backend servers a
 /// copy has 3 MB: no answer in one piece arrived in time over links of 20 Mbit/s, so each node read the
 /// store, in 51 pages of which two thirds crossed regions (3,400 calls by their price and most of the 1.3 GB
 /// between regions up to the 10th second of a day).
 ///
-/// Growth: bytes and calls across failure domains grow with the number of failure domains, not of nodes, once
-/// the nodes of a failure domain know each other. At a common start they do not for the first half second, in
-/// which each node considers itself one of the first and reads the store; this is not solved. The time of a
-/// common start grows with the size of the state and the logarithm of the number of nodes of a failure
-/// domain, since each node with a copy sends it on.
+/// Scaling: bytes and calls across failure domains grow with the number of failure domains, not of nodes,
+/// once the nodes of a failure domain know each other. At a common start they do not for the first half
+/// second, in which each node considers itself one of the first and reads the store; this is not solved. The
+/// time of a common start grows with the size of the state and the logarithm of the number of nodes of a
+/// failure domain, since each node with a copy sends it on.
 ///
 /// Alternatives:
 /// - one answer with all keys: its timeout holds for one size only;
--- a/src/steering/store_start.cpp
+++ b/src/steering/store_start.cpp
@@ -14,7 +14,7 @@
 constexpr std::size_t k_registered_per_domain = 2;
 } // namespace
 
-bool registers(const node_heartbeat& _self, const std::vector<const node_heartbeat*>& _live)
+bool should_register(const node_heartbeat& _self, const std::vector<const node_heartbeat*>& _live)
 {
 	const std::uint64_t own = rendezvous_weight(_self.node.text, 0);
 	std::size_t rank = 0;
--- a/src/steering/store_start_p.h
+++ b/src/steering/store_start_p.h
@@ -8,15 +8,13 @@
 /// Inputs: time since the start; heartbeats of this node and of the live nodes.
 ///
 /// Algorithm:
-/// - A node ranks itself among the readers only after k_reader_rank_delay, when it has received heartbeats of
-/// the
-///   others: before that, each node would rank first and open a watch.
+/// - A node ranks itself among the readers only after k_reader_rank_delay, when it has received heartbeats
+///   of the others: before that, each node would rank first and open a watch.
 /// - A registration helps only nodes that cannot reach a seed. So only the first k_registered_per_domain
-/// nodes
-///   of a failure domain by rendezvous hashing register, and no node does within k_registration_delay of its
-///   start.
+///   nodes of a failure domain by rendezvous hashing register, and no node does within k_registration_delay
+///   of its start.
 ///
-/// Pattern: a start of all nodes at once. Growth: registrations grow with the number of failure domains, not
+/// Purpose: a start of all nodes at once. Scaling: registrations grow with the number of failure domains, not
 /// of nodes.
 ///
 /// Relies on node_liveness for which nodes are live, on state_copy for how a starting node gets the keys, and
@@ -40,5 +38,5 @@
 
 /// @param[in] _live The other live nodes, of all failure domains.
 /// @returns Whether this node has to keep itself registered in the store.
-bool registers(const node_heartbeat& _self, const std::vector<const node_heartbeat*>& _live);
+bool should_register(const node_heartbeat& _self, const std::vector<const node_heartbeat*>& _live);
 } // namespace larkrack
--- a/tests/crash_model_test.cpp
+++ b/tests/crash_model_test.cpp
@@ -93,10 +93,10 @@
 	/// A backend server crashes on its own while it runs a request of each of the given nodes.
 	void crash_server(const std::vector<int>& _nodes, std::uint64_t _request)
 	{
-		const std::uint32_t instance = ++m_instances;
+		const std::uint32_t incarnation = ++m_incarnations;
 		for (const int node : _nodes)
 		{
-			observe_crash(node, _request, instance);
+			observe_crash(node, _request, incarnation);
 		}
 	}
 	void serve(int _node, std::uint64_t _request)
@@ -291,9 +291,9 @@
 			    });
 			return;
 		}
-		const std::uint32_t instance = ++m_instances;
+		const std::uint32_t incarnation = ++m_incarnations;
 		schedule(delay_to(_node, 0) + k_time_to_crash,
-		    [this, _node, _request, instance, _crashing]
+		    [this, _node, _request, incarnation, _crashing]
 		    {
 			    if (_crashing)
 			    {
@@ -302,13 +302,13 @@
 			    }
 			    // The connection breaks, and the probe's connection is refused.
 			    schedule(3 * delay_to(_node, 0),
-			        [this, _node, _request, instance]
+			        [this, _node, _request, incarnation]
 			        {
-				        observe_crash(_node, _request, instance);
+				        observe_crash(_node, _request, incarnation);
 			        });
 		    });
 	}
-	void observe_crash(int _node, std::uint64_t _request, std::uint32_t _instance)
+	void observe_crash(int _node, std::uint64_t _request, std::uint32_t _incarnation)
 	{
 		model_node& node = at(_node);
 		if (node.dead)
@@ -318,31 +318,31 @@
 		std::vector<request_fingerprint> requests{request_of(_request)};
 		for (std::uint64_t i = 0; i < k_concurrent; ++i)
 		{
-			requests.push_back(request_of(1000000 + k_concurrent * _instance + i));
+			requests.push_back(request_of(1000000 + k_concurrent * _incarnation + i));
 		}
 		backend_server backend;
-		backend.id_hash = _instance;
+		backend.id_hash = _incarnation;
 		if (nullptr != node.guard)
 		{
 			node.guard->on_backend_crashed(backend, requests);
 			return;
 		}
-		count_crash(_node, request_of(_request), _instance);
+		count_crash(_node, request_of(_request), _incarnation);
 		for (int other = 0; crash_strategy::broadcast == m_strategy && other < nodes(); ++other)
 		{
 			for (const request_fingerprint& request : requests)
 			{
 				if (other != _node)
 				{
-					send(_node, other, encode(crash_report{request, _instance, false}));
+					send(_node, other, encode(crash_report{request, _incarnation, false}));
 				}
 			}
 		}
 	}
-	void count_crash(int _node, const request_fingerprint& _request, std::uint32_t _instance)
+	void count_crash(int _node, const request_fingerprint& _request, std::uint32_t _incarnation)
 	{
 		model_node& node = at(_node);
-		if (node.evidence->on_crash(_request, {_instance, _request.caller, false, m_clock.steady()}))
+		if (node.evidence->on_crash(_request, {_incarnation, _request.caller, false, m_clock.steady()}))
 		{
 			node.blocked.insert(_request);
 		}
@@ -369,7 +369,7 @@
 				    return;
 			    }
 			    const crash_report& report = std::get<crash_report>(*value_of(decoded));
-			    count_crash(_to, report.request, report.life);
+			    count_crash(_to, report.request, report.incarnation);
 		    });
 	}
 	/// Writes a block to the store, which informs all nodes after a delay.
@@ -452,7 +452,7 @@
 	std::map<std::uint64_t, std::vector<steady_time>> m_crashes_of;
 	std::map<std::uint64_t, std::size_t> m_refused;
 	std::vector<steady_time> m_crashes;
-	std::uint32_t m_instances = 0;
+	std::uint32_t m_incarnations = 0;
 	std::size_t m_datagrams = 0;
 	std::size_t m_bytes = 0;
 	int m_steps = 0;
--- a/tests/crashing_request_test.cpp
+++ b/tests/crashing_request_test.cpp
@@ -40,18 +40,18 @@
 	{
 		m_acceptor =
 		    std::make_unique<tcp::acceptor>(m_context, tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0));
-		++m_instance;
+		++m_incarnation;
 		accept();
 		m_on_start(*this);
 	}
 	backend_id id() const
 	{
-		return backend_id("b" + std::to_string(m_place) + "." + std::to_string(m_instance));
+		return backend_id("b" + std::to_string(m_place) + "." + std::to_string(m_incarnation));
 	}
-	/// @returns The id of the previous instance.
+	/// @returns The id of the previous incarnation.
 	backend_id former_id() const
 	{
-		return backend_id("b" + std::to_string(m_place) + "." + std::to_string(m_instance - 1));
+		return backend_id("b" + std::to_string(m_place) + "." + std::to_string(m_incarnation - 1));
 	}
 	tcp::endpoint address() const
 	{
@@ -161,7 +161,7 @@
 	asio::steady_timer m_timer;
 	std::unique_ptr<tcp::acceptor> m_acceptor;
 	std::set<session_ptr> m_sessions;
-	int m_instance = 0;
+	int m_incarnation = 0;
 };
 
 /// Nine nodes, and backend servers that a certain request crashes.
--- a/tests/customer_requests_test.cpp
+++ b/tests/customer_requests_test.cpp
@@ -185,7 +185,7 @@
 	{
 		set_customers();
 		scripted_backend& backend = add_backend("b1");
-		m_quotas.answer = quota_answer::over;
+		m_quotas.answer = quota_answer::over_limit;
 		const caller_response refused = ask(request("GET", "/read/1", "r1", key("k4")));
 		CPPUNIT_ASSERT_EQUAL(429U, refused.result_int());
 		const double pause_s = std::stod(std::string(refused[http::field::retry_after]));
--- a/tests/entry_fixture.h
+++ b/tests/entry_fixture.h
@@ -39,7 +39,7 @@
 class fleet_view_single_node : public fleet_view_base
 {
 public:
-	sharing sharers() const override
+	budget_sharing sharers() const override
 	{
 		return {nodes};
 	}
@@ -97,7 +97,7 @@
 		}
 		_decided(answer);
 	}
-	void give_back(const customer& _customer) override
+	void return_token(const customer& _customer) override
 	{
 		given_back.push_back(_customer.name.text);
 	}
@@ -144,13 +144,13 @@
 	{
 		waiting = std::move(_decided);
 	}
-	void give_back(const backend_state&) override
+	void return_token(const backend_state&) override
 	{
 		++given_back;
 	}
-	void on_limit_report(backend_server& _backend, const limit_report& _word) override
+	void on_limit_report(backend_server& _backend, const limit_report& _report) override
 	{
-		_backend.limit.hear(_word);
+		_backend.limit.take_report(_report);
 	}
 
 	quota_answer answer = quota_answer::granted;
--- a/tests/fleet_model_test.cpp
+++ b/tests/fleet_model_test.cpp
@@ -187,8 +187,8 @@
 
 	void send_heartbeats(node& _from)
 	{
-		const auto heartbeat = std::make_shared<const node_heartbeat>(_from.view->next());
-		for (const std::string& ip : _from.view->targets())
+		const auto heartbeat = std::make_shared<const node_heartbeat>(_from.view->next_heartbeat());
+		for (const std::string& ip : _from.view->heartbeat_targets())
 		{
 			send(heartbeat, ip);
 		}
@@ -260,7 +260,7 @@
 					continue;
 				}
 				const contact_reply reply =
-				    to.dead ? contact_reply::none : to.view->hear(*delivered.heartbeat);
+				    to.dead ? contact_reply::none : to.view->on_heartbeat(*delivered.heartbeat);
 				if (contact_reply::none != reply)
 				{
 					send(std::make_shared<const node_heartbeat>(
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -83,7 +83,7 @@
 		fleet view(m_clock, node(_name, _region), *m_registry, m_log);
 		for (int i = 1; i <= _nodes; ++i)
 		{
-			view.hear(node("n" + std::to_string(i)));
+			view.on_heartbeat(node("n" + std::to_string(i)));
 		}
 		return view;
 	}
@@ -156,8 +156,8 @@
 		fleet view = view_of("n1", 2);
 		node_heartbeat stopping = node("n3");
 		stopping.state = node_state::stopping;
-		view.hear(stopping);
-		view.hear(node("n4", "west"));
+		view.on_heartbeat(stopping);
+		view.on_heartbeat(node("n4", "west"));
 		const std::vector<std::string> expected{"10.0.0.2:80", "10.0.0.1:80"};
 		CPPUNIT_ASSERT(expected == view.look_up(region_name("east"), {}).addresses);
 	}
@@ -173,8 +173,8 @@
 	void lookup_in_region_without_nodes_returns_home_regions_first()
 	{
 		fleet view = view_of("n1", 2);
-		view.hear(node("n7", "west"));
-		view.hear(node("n8", "north"));
+		view.on_heartbeat(node("n7", "west"));
+		view.on_heartbeat(node("n8", "north"));
 		CPPUNIT_ASSERT(
 		    std::vector<std::string>{"10.0.0.7:80"} ==
 		    view.look_up(region_name("south"), {region_name("south"), region_name("west")}).addresses);
@@ -193,10 +193,10 @@
 		fleet view = view_of("n1", 2);
 		node_heartbeat restarted = node("n2");
 		restarted.incarnation = 10; // Its wall clock was set back.
-		view.hear(restarted);
+		view.on_heartbeat(restarted);
 		CPPUNIT_ASSERT_EQUAL(std::uint64_t(1000), view.members().at(node_name("n2")).last.incarnation);
 		m_clock.advance(std::chrono::seconds(2));
-		view.hear(restarted);
+		view.on_heartbeat(restarted);
 		CPPUNIT_ASSERT_EQUAL(std::uint64_t(10), view.members().at(node_name("n2")).last.incarnation);
 	}
 
@@ -250,7 +250,7 @@
 					node_heartbeat disconnected = node(_disconnected);
 					disconnected.sequence = 2;
 					disconnected.store_reached = false;
-					view.hear(disconnected);
+					view.on_heartbeat(disconnected);
 				}
 				if (view.self().node.text != _disconnected && 0 == view.reader().rank)
 				{
@@ -275,7 +275,7 @@
 			{
 				node_heartbeat other = node("n" + std::to_string(j));
 				other.store_reached = false;
-				view.hear(other);
+				view.on_heartbeat(other);
 			}
 			readers += view.reader().rank < 3 ? 1 : 0;
 		}
@@ -289,10 +289,10 @@
 		node_heartbeat other = node("n2");
 		other.sequence = 2;
 		other.store_answer_age = std::chrono::milliseconds(400);
-		view.hear(other);
+		view.on_heartbeat(other);
 		node_heartbeat far = node("n9", "west");
 		far.store_answer_age = std::chrono::milliseconds(0);
-		view.hear(far);
+		view.on_heartbeat(far);
 		CPPUNIT_ASSERT(
 		    m_clock.steady() - std::chrono::milliseconds(400) == view.peers_store_response_time().value());
 	}
@@ -313,16 +313,16 @@
 	{
 		fleet view = view_of("n1", 200);
 		node_heartbeat new_node = node("n201");
-		CPPUNIT_ASSERT(contact_reply::introduction == view.hear(new_node));
+		CPPUNIT_ASSERT(contact_reply::introduction == view.on_heartbeat(new_node));
 		++new_node.sequence;
-		CPPUNIT_ASSERT(contact_reply::none == view.hear(new_node));
+		CPPUNIT_ASSERT(contact_reply::none == view.on_heartbeat(new_node));
 		++new_node.incarnation;
-		CPPUNIT_ASSERT(contact_reply::introduction == view.hear(new_node));
+		CPPUNIT_ASSERT(contact_reply::introduction == view.on_heartbeat(new_node));
 		node_heartbeat updated = node("n202");
 		updated.known_ips.assign(64, "10.0.0.9");
-		CPPUNIT_ASSERT(contact_reply::heartbeat == view.hear(updated));
-		CPPUNIT_ASSERT(
-		    contact_reply::heartbeat == view_of("n1", 0).hear(new_node)); // There are no addresses to send.
+		CPPUNIT_ASSERT(contact_reply::heartbeat == view.on_heartbeat(updated));
+		CPPUNIT_ASSERT(contact_reply::heartbeat ==
+		               view_of("n1", 0).on_heartbeat(new_node)); // There are no addresses to send.
 		CPPUNIT_ASSERT(view.unscheduled_heartbeat(contact_reply::heartbeat).known_ips.empty());
 	}
 
@@ -347,8 +347,8 @@
 		int tries = 0;
 		for (int i = 0; i < 98; ++i)
 		{
-			view.next();
-			const std::vector<std::string> targets = view.targets();
+			view.next_heartbeat();
+			const std::vector<std::string> targets = view.heartbeat_targets();
 			tries += static_cast<int>(std::count(targets.begin(), targets.end(), "10.9.9.9"));
 		}
 		CPPUNIT_ASSERT_EQUAL(8 + 10, tries); // Each of the first 8 heartbeats, then every 9th.
@@ -360,7 +360,7 @@
 		fleet view(m_clock, node_of_large_fleet("n1"), *m_registry, m_log);
 		for (int i = 2; i <= 295; ++i)
 		{
-			view.hear(node_of_large_fleet("n" + std::to_string(i)));
+			view.on_heartbeat(node_of_large_fleet("n" + std::to_string(i)));
 		}
 		return view;
 	}
@@ -400,7 +400,7 @@
 	{
 		fleet view = view_of_large_fleet();
 		m_clock.advance(std::chrono::milliseconds(2400));
-		view.hear(report_about_n4(node_state::ready, std::chrono::milliseconds(100)));
+		view.on_heartbeat(report_about_n4(node_state::ready, std::chrono::milliseconds(100)));
 		m_clock.advance(std::chrono::milliseconds(2400));
 		CPPUNIT_ASSERT(lookup_includes(view, "n4"));
 	}
@@ -410,7 +410,7 @@
 		fleet view = view_of_large_fleet();
 		m_clock.advance(std::chrono::milliseconds(2400));
 		node_heartbeat sender = report_about_n4(node_state::ready, std::chrono::milliseconds(2350));
-		view.hear(sender);
+		view.on_heartbeat(sender);
 		CPPUNIT_ASSERT(node_state::ready == state_of(view, "n4"));
 		CPPUNIT_ASSERT(view.is_live(node_name("n4")));
 		m_clock.advance(std::chrono::milliseconds(700)); // 3.05 s since the last report; the limit is 3.0 s.
@@ -422,12 +422,12 @@
 	{
 		fleet view = view_of_large_fleet();
 		m_clock.advance(std::chrono::milliseconds(300));
-		view.hear(report_about_n4(node_state::stopping, std::chrono::milliseconds(500)));
+		view.on_heartbeat(report_about_n4(node_state::stopping, std::chrono::milliseconds(500)));
 		CPPUNIT_ASSERT(
 		    node_state::ready == state_of(view, "n4")); // The report is older than n4's own heartbeat.
 		node_heartbeat newer = report_about_n4(node_state::stopping, std::chrono::milliseconds(50));
 		newer.sequence = 3;
-		view.hear(newer);
+		view.on_heartbeat(newer);
 		CPPUNIT_ASSERT(node_state::stopping == state_of(view, "n4"));
 		CPPUNIT_ASSERT(!lookup_includes(view, "n4"));
 	}
@@ -439,15 +439,15 @@
 		node_heartbeat foreign = node_of_large_fleet("n5");
 		foreign.sequence = 2;
 		foreign.neighbours = {{short_hash("n4"), node_state::stopping, std::chrono::milliseconds(0)}};
-		view.hear(foreign);
+		view.on_heartbeat(foreign);
 		CPPUNIT_ASSERT(node_state::ready == state_of(view, "n4"));
 	}
 
 	void neighbours_are_reported_only_in_large_fleets()
 	{
-		CPPUNIT_ASSERT(view_of("n1", 9).next().neighbours.empty());
+		CPPUNIT_ASSERT(view_of("n1", 9).next_heartbeat().neighbours.empty());
 		fleet view = view_of_large_fleet();
-		CPPUNIT_ASSERT_EQUAL(std::size_t(32), view.next().neighbours.size());
+		CPPUNIT_ASSERT_EQUAL(std::size_t(32), view.next_heartbeat().neighbours.size());
 	}
 
 	void newer_keys_of_dead_node_are_not_requested_until_it_is_back()
@@ -457,14 +457,14 @@
 		node_heartbeat updated = node("n2");
 		updated.sequence = 2;
 		updated.store_revision = 70;
-		view.hear(updated);
+		view.on_heartbeat(updated);
 		CPPUNIT_ASSERT(nullptr == view.peer_with_newer_keys(70));
 		CPPUNIT_ASSERT(node_name("n2") == view.peer_with_newer_keys(69)->node);
 		m_clock.advance(std::chrono::seconds(2)); // n2 is silent for longer than 0.9 s and counts as dead.
 		CPPUNIT_ASSERT(nullptr == view.peer_with_newer_keys(69));
 		CPPUNIT_ASSERT(nullptr == view.peer_with_newer_keys(0));
 		++updated.sequence;
-		view.hear(updated);
+		view.on_heartbeat(updated);
 		CPPUNIT_ASSERT(node_name("n2") == view.peer_with_newer_keys(69)->node);
 		CPPUNIT_ASSERT(node_name("n2") == view.peer_with_newer_keys(0)->node);
 	}
@@ -475,7 +475,7 @@
 		node_heartbeat updated = node("n2");
 		updated.sequence = 2;
 		updated.config_version = 7;
-		view.hear(updated);
+		view.on_heartbeat(updated);
 		CPPUNIT_ASSERT(nullptr == view.peer_with_newer_routes(7));
 		CPPUNIT_ASSERT(node_name("n2") == view.peer_with_newer_routes(6)->node);
 		m_clock.advance(std::chrono::seconds(2));
@@ -489,10 +489,10 @@
 		node_heartbeat moved = node("n2");
 		++moved.incarnation;
 		moved.domain = domain_name("east-b");
-		view.hear(moved);
+		view.on_heartbeat(moved);
 		CPPUNIT_ASSERT(std::chrono::milliseconds(28 * 12) == view.interval());
 		m_clock.advance(std::chrono::seconds(61));
-		view.hear(moved); // The other nodes are removed by tick().
+		view.on_heartbeat(moved); // The other nodes are removed by tick().
 		view.tick();
 		CPPUNIT_ASSERT_EQUAL(std::size_t(1), view.members().size());
 		CPPUNIT_ASSERT(std::chrono::milliseconds(100) == view.interval());
@@ -505,7 +505,7 @@
 		invalid.incarnation = 0;
 		for (int i = 0; i < 5; ++i)
 		{
-			view.hear(invalid);
+			view.on_heartbeat(invalid);
 			++invalid.sequence;
 		}
 		CPPUNIT_ASSERT(std::chrono::milliseconds(30 * 12) == view.interval());
@@ -518,10 +518,10 @@
 		m_clock.advance(std::chrono::seconds(61));
 		view.tick();
 		CPPUNIT_ASSERT(view.members().empty());
-		CPPUNIT_ASSERT(std::vector<std::string>{"10.0.0.2"} == view.targets());
-		view.hear(node("n2"));
-		CPPUNIT_ASSERT(
-		    std::vector<std::string>{"10.0.0.2"} == view.targets()); // The address is not listed twice.
+		CPPUNIT_ASSERT(std::vector<std::string>{"10.0.0.2"} == view.heartbeat_targets());
+		view.on_heartbeat(node("n2"));
+		CPPUNIT_ASSERT(std::vector<std::string>{"10.0.0.2"} ==
+		               view.heartbeat_targets()); // The address is not listed twice.
 	}
 
 	/// @returns View of n1 in a failure domain of 80 nodes.
@@ -616,14 +616,14 @@
 		{
 			node_heartbeat busy = node(name);
 			busy.requests_per_s = {{shop, 5.0}};
-			view.hear(busy);
+			view.on_heartbeat(busy);
 		}
 		CPPUNIT_ASSERT_DOUBLES_EQUAL(10.0, view.demand_of_others(shop).at(region_name("east")), 1e-9);
 		m_clock.advance(std::chrono::milliseconds(600));
 		node_heartbeat alive = node("n3");
 		alive.sequence = 2;
 		alive.requests_per_s = {{shop, 7.0}};
-		view.hear(alive);
+		view.on_heartbeat(alive);
 		m_clock.advance(std::chrono::milliseconds(600));
 		CPPUNIT_ASSERT_DOUBLES_EQUAL(7.0, view.demand_of_others(shop).at(region_name("east")), 1e-9);
 	}
@@ -636,7 +636,7 @@
 		node_heartbeat stopping = node("n2");
 		stopping.sequence = 2;
 		stopping.state = node_state::stopping;
-		view.hear(stopping);
+		view.on_heartbeat(stopping);
 		CPPUNIT_ASSERT_DOUBLES_EQUAL(2.0, view.live_nodes().live, 1e-9);
 		CPPUNIT_ASSERT(view.live_nodes().version > before);
 		for (std::uint64_t customer = 0; customer < 50; ++customer)
@@ -653,8 +653,8 @@
 		    node_liveness(0, static_cast<std::size_t>(_nodes - 1)).heartbeat_divisor(proximity::far);
 		for (int round = 0; round < 2 * heartbeat_divisor; ++round)
 		{
-			view.next();
-			for (const std::string& ip : view.targets())
+			view.next_heartbeat();
+			for (const std::string& ip : view.heartbeat_targets())
 			{
 				++sent[ip];
 			}
--- a/tests/forms/crash_form_test.cpp
+++ b/tests/forms/crash_form_test.cpp
@@ -57,8 +57,9 @@
 
 	void messages_are_read_back()
 	{
-		const crash_report end = read_back(crash_report{k_request, 9, true});
-		CPPUNIT_ASSERT(k_request == end.request && 1 == end.request.head && 9 == end.life && end.caller_only);
+		const crash_report crash = read_back(crash_report{k_request, 9, true});
+		CPPUNIT_ASSERT(k_request == crash.request && 1 == crash.request.head && 9 == crash.incarnation &&
+		               crash.caller_only);
 		const block_update news = read_back(block_update{{k_request, false, 4, 1, 7}, false});
 		CPPUNIT_ASSERT(!news.block.blocked && 4 == news.block.number && 1 == news.block.trials);
 		CPPUNIT_ASSERT(7 == news.block.versions && !news.forwards_changes);
--- a/tests/forms/limit_form_test.cpp
+++ b/tests/forms/limit_form_test.cpp
@@ -34,9 +34,10 @@
 		const std::string known = "85186a0700008114";
 		CPPUNIT_ASSERT_EQUAL(known, to_hex(encode(ended, k_now)));
 		const result<limit_message> decoded = decode(known);
-		const auto& word = std::get<limit_message>(decoded);
-		CPPUNIT_ASSERT(7 == word.life && !word.word.per_s && ended.word.report_time == word.word.report_time);
-		CPPUNIT_ASSERT(std::holds_alternative<std::monostate>(word.tokens));
+		const auto& message = std::get<limit_message>(decoded);
+		CPPUNIT_ASSERT(7 == message.incarnation && !message.report.per_s &&
+		               ended.report.report_time == message.report.report_time);
+		CPPUNIT_ASSERT(std::holds_alternative<std::monostate>(message.tokens));
 	}
 
 	void request_has_the_known_bytes()
@@ -48,7 +49,7 @@
 		const auto& request = std::get<quota_request>(std::get<limit_message>(decoded).tokens);
 		CPPUNIT_ASSERT(7 == request.customer && 3 == request.wanted);
 		CPPUNIT_ASSERT(lender_rank::backup == request.rank);
-		CPPUNIT_ASSERT_EQUAL(2.9, *std::get<limit_message>(decoded).word.per_s);
+		CPPUNIT_ASSERT_EQUAL(2.9, *std::get<limit_message>(decoded).report.per_s);
 	}
 
 	void grant_has_the_known_bytes()
@@ -68,9 +69,9 @@
 			const std::vector<std::uint8_t> bytes = from_hex(other);
 			CPPUNIT_ASSERT(!is_limit_message(bytes.data(), bytes.size()));
 		}
-		const std::vector<std::uint8_t> word = encode(limit_message{}, k_now);
-		CPPUNIT_ASSERT(is_limit_message(word.data(), word.size()));
-		CPPUNIT_ASSERT(!is_limit_message(word.data(), 0));
+		const std::vector<std::uint8_t> bytes = encode(limit_message{}, k_now);
+		CPPUNIT_ASSERT(is_limit_message(bytes.data(), bytes.size()));
+		CPPUNIT_ASSERT(!is_limit_message(bytes.data(), 0));
 	}
 
 	void message_invalid_is_refused()
--- a/tests/limit_model_test.cpp
+++ b/tests/limit_model_test.cpp
@@ -46,21 +46,21 @@
 	}
 	quota_answer take(const backend_state& _backend) override
 	{
-		const double per_s = *_backend.limit.word().per_s;
+		const double per_s = *_backend.limit.report().per_s;
 		const bool sends = m_view.responsible_in_region(_backend.region, _backend.id_hash).first.ip.empty();
 		const double share = m_single_sender ? (sends ? 1.0 : 0.0) : 1.0 / m_view.nodes.most;
 		return m_bucket.take(share * per_s, 1.0, m_clock.steady()) ? quota_answer::granted
-		                                                           : quota_answer::over;
+		                                                           : quota_answer::over_limit;
 	}
 	void wait_for_token(const backend_state&, handler) override
 	{
 	}
-	void give_back(const backend_state&) override
+	void return_token(const backend_state&) override
 	{
 	}
 	void on_limit_report(backend_server& _backend, const limit_report& _limit) override
 	{
-		_backend.limit.hear(_limit);
+		_backend.limit.take_report(_limit);
 	}
 
 private:
@@ -367,7 +367,7 @@
 			const bool runs = !node.dead && !node.frozen && nullptr != node.lent;
 			if (runs && 0 == m_steps % 5)
 			{
-				node.lent->wake();
+				node.lent->check_waiting();
 			}
 			if (runs && 0 == m_steps % 20)
 			{
--- a/tests/limited_requests_test.cpp
+++ b/tests/limited_requests_test.cpp
@@ -31,7 +31,7 @@
 	{
 		scripted_backend& backend = add_backend(_id);
 		backend.usual.bytes = scripted_backend::answer("limited", 200, "Larkrack-Limit: 2.9\r\n");
-		find_backend(_id).limit.hear({2.9, m_clock.steady()});
+		find_backend(_id).limit.take_report({2.9, m_clock.steady()});
 		return backend;
 	}
 
@@ -42,7 +42,7 @@
 		backend.script = {{scripted_backend::answer("fine", 200, "Larkrack-Limit: 2.9\r\n")},
 		    {scripted_backend::answer("fine", 200, "Larkrack-Limit: many\r\n")}};
 		ask(request("GET", "/read/1", "r1"));
-		CPPUNIT_ASSERT_EQUAL(2.9, *find_backend("b1").limit.word().per_s);
+		CPPUNIT_ASSERT_EQUAL(2.9, *find_backend("b1").limit.report().per_s);
 		ask(request("GET", "/read/1", "r2"));
 		CPPUNIT_ASSERT(find_backend("b1").limit.limited()); // An invalid value changes nothing.
 		ask(request("GET", "/read/1", "r3"));
@@ -92,7 +92,7 @@
 			    return nullptr != m_limits.waiting;
 		    });
 		add_backend("b2");
-		m_limits.waiting(quota_answer::over);
+		m_limits.waiting(quota_answer::over_limit);
 		CPPUNIT_ASSERT_EQUAL(std::string("fine"), caller.receive().body());
 		CPPUNIT_ASSERT(m_backends[0]->requests.empty());
 	}
@@ -101,7 +101,7 @@
 	{
 		set_routes();
 		add_limited_backend("b1");
-		m_limits.answer = quota_answer::over;
+		m_limits.answer = quota_answer::over_limit;
 		const caller_response refused = ask(request("GET", "/read/1", "r1"));
 		CPPUNIT_ASSERT_EQUAL(503U, refused.result_int());
 		CPPUNIT_ASSERT(refused.end() != refused.find(http::field::retry_after));
--- a/tests/model_view.h
+++ b/tests/model_view.h
@@ -47,7 +47,7 @@
 		++nodes.version;
 		near.version = nodes.version;
 	}
-	sharing sharers() const override
+	budget_sharing sharers() const override
 	{
 		return {nodes.most};
 	}
--- a/tests/quota_model_test.cpp
+++ b/tests/quota_model_test.cpp
@@ -52,9 +52,9 @@
 		const double burst = std::max(1.0, (_customer.limit.burst + k_bounds.slack) / m_nodes);
 		const bool granted =
 		    m_buckets[_customer.id].take(_customer.limit.per_s / m_nodes, burst, m_clock.steady());
-		_decided(granted ? quota_answer::granted : quota_answer::over);
+		_decided(granted ? quota_answer::granted : quota_answer::over_limit);
 	}
-	void give_back(const customer&) override
+	void return_token(const customer&) override
 	{
 	}
 	double quota_retry_delay_s(const customer&) const override
@@ -174,7 +174,7 @@
 			}
 			if (0 == m_steps % 5)
 			{
-				node.lent->wake();
+				node.lent->check_waiting();
 			}
 			if (node.cut && m_clock.steady() - node.cut_at > k_isolated_after)
 			{
--- a/tests/rest_model_test.cpp
+++ b/tests/rest_model_test.cpp
@@ -106,7 +106,7 @@
 				return;
 			}
 			m_figures.refused += 0 == attempt ? 1.0 : 0.0;
-			hear(_node, server);
+			observe_rest(_node, server);
 		}
 	}
 	std::size_t choose(std::vector<backend_knowledge>& _known, const std::vector<bool>& _tried)
@@ -135,10 +135,10 @@
 	{
 		return steady_time{} + ms(1000) + _time;
 	}
-	void hear(std::size_t _node, std::size_t _server)
+	void observe_rest(std::size_t _node, std::size_t _server)
 	{
 		backend_knowledge& local = m_nodes[_node][_server];
-		local.rest.hear(m_scenario.asked_for, m_now);
+		local.rest.take_report(m_scenario.asked_for, m_now);
 		local.refused_at = m_now;
 		local.in_rest = 0;
 		if (rest_strategy::sent_to_all != m_strategy)
@@ -148,7 +148,7 @@
 		m_figures.bytes += k_report_bytes * (m_nodes.size() - 1);
 		for (std::vector<backend_knowledge>& other : m_nodes)
 		{
-			other[_server].rest.hear(m_scenario.asked_for, m_now);
+			other[_server].rest.take_report(m_scenario.asked_for, m_now);
 		}
 	}
 	void count_in_rest(backend_knowledge& _known)
--- a/tests/resting_requests_test.cpp
+++ b/tests/resting_requests_test.cpp
@@ -48,7 +48,7 @@
 	}
 	void set_pause(const std::string& _id, ms _time)
 	{
-		find_backend(_id).rest.hear(_time, m_clock.steady());
+		find_backend(_id).rest.take_report(_time, m_clock.steady());
 	}
 
 	void turned_away_request_is_sent_elsewhere_and_later_ones_go_there_at_once()
@@ -127,7 +127,7 @@
 	{
 		set_routes();
 		scripted_backend& backend = add_backend("b1");
-		find_backend("b1").limit.hear({2.9, m_clock.steady()});
+		find_backend("b1").limit.take_report({2.9, m_clock.steady()});
 		m_limits.answer = quota_answer::waits;
 		raw_caller caller = call();
 		caller.send(request("GET", "/read/1", "r1"));
@@ -244,7 +244,7 @@
 				run_until(*m_context,
 				    [this]
 				    {
-					    return 1 == m_forwarder->counters().left;
+					    return 1 == m_forwarder->counters().disconnected;
 				    });
 			}
 			else
--- a/tests/steering_backend_choice_test.cpp
+++ b/tests/steering_backend_choice_test.cpp
@@ -410,7 +410,7 @@
 
 	void report_limit(backend_state& _backend)
 	{
-		_backend.limit.hear({2.9, m_now});
+		_backend.limit.take_report({2.9, m_now});
 	}
 
 	backend_query query_with_tokens(std::uint64_t _key)
@@ -429,7 +429,7 @@
 		backend_state* first = select(query_with_tokens(7));
 		report_limit(*first);
 		CPPUNIT_ASSERT(first == select(query_with_tokens(7)));
-		m_tokens.answer = quota_answer::over;
+		m_tokens.answer = quota_answer::over_limit;
 		backend_state* second = select(query_with_tokens(7));
 		CPPUNIT_ASSERT(nullptr != second && second != first);
 		backend_query query_without_token = query_with_tokens(7);
@@ -477,7 +477,7 @@
 		retry_query.tried = &tried;
 		backend_state* second = select(retry_query);
 		report_limit(*second);
-		m_tokens.answer = quota_answer::over;
+		m_tokens.answer = quota_answer::over_limit;
 		CPPUNIT_ASSERT(second != select(retry_query));
 		CPPUNIT_ASSERT(m_tokens.taken > 0);
 	}
@@ -490,7 +490,7 @@
 	void key_of_a_resting_server_moves_to_the_next_one_and_returns()
 	{
 		backend_state* home = select(query(42));
-		home->rest.hear(std::chrono::seconds(3), m_now);
+		home->rest.take_report(std::chrono::seconds(3), m_now);
 		backend_state* next = select(query(42));
 		CPPUNIT_ASSERT(nullptr != next && home != next);
 		CPPUNIT_ASSERT(next == select(query(42))); // All requests of the key go there.
@@ -504,8 +504,8 @@
 		backend_query built_query = query(42);
 		built_query.tokens = &tokens;
 		backend_state* home = select(built_query);
-		home->limit.hear({2.9, m_now});
-		home->rest.hear(std::chrono::seconds(3), m_now);
+		home->limit.take_report({2.9, m_now});
+		home->rest.take_report(std::chrono::seconds(3), m_now);
 		CPPUNIT_ASSERT(home != select(built_query));
 		CPPUNIT_ASSERT_EQUAL(0, tokens.taken);
 		m_now += std::chrono::seconds(3);
@@ -532,10 +532,10 @@
 		const auto usable = time_of_a_choice();
 		for (backend_state* backend : m_registry->of_service(service_name("shop")))
 		{
-			backend->rest.hear(std::chrono::seconds(3), m_now);
+			backend->rest.take_report(std::chrono::seconds(3), m_now);
 		}
 		m_registry->find(backend_id("s7"))->rest = {};
-		m_registry->find(backend_id("s7"))->rest.hear(std::chrono::seconds(1), m_now);
+		m_registry->find(backend_id("s7"))->rest.take_report(std::chrono::seconds(1), m_now);
 		const backend_choice none = choose_backend(query(0), m_warmup, m_now);
 		CPPUNIT_ASSERT(backend_choice_reason::all_resting == none.why);
 		CPPUNIT_ASSERT(m_now + std::chrono::seconds(1) == none.available_at);
--- a/tests/steering_backend_limit_test.cpp
+++ b/tests/steering_backend_limit_test.cpp
@@ -51,11 +51,11 @@
 	{
 		reported_limit limit;
 		CPPUNIT_ASSERT(!limit.limited());
-		CPPUNIT_ASSERT(limit.hear({5.0, k_now}));
-		CPPUNIT_ASSERT(!limit.hear({7.0, k_now - std::chrono::milliseconds(1)}));
-		CPPUNIT_ASSERT_EQUAL(5.0, *limit.word().per_s);
-		CPPUNIT_ASSERT(!limit.hear({5.0, k_now + std::chrono::milliseconds(1)}));
-		CPPUNIT_ASSERT(limit.hear({std::nullopt, k_now + std::chrono::milliseconds(2)}));
+		CPPUNIT_ASSERT(limit.take_report({5.0, k_now}));
+		CPPUNIT_ASSERT(!limit.take_report({7.0, k_now - std::chrono::milliseconds(1)}));
+		CPPUNIT_ASSERT_EQUAL(5.0, *limit.report().per_s);
+		CPPUNIT_ASSERT(!limit.take_report({5.0, k_now + std::chrono::milliseconds(1)}));
+		CPPUNIT_ASSERT(limit.take_report({std::nullopt, k_now + std::chrono::milliseconds(2)}));
 		CPPUNIT_ASSERT(!limit.limited());
 	}
 
--- a/tests/steering_backend_rest_test.cpp
+++ b/tests/steering_backend_rest_test.cpp
@@ -53,10 +53,10 @@
 	void shorter_rest_after_a_longer_one_does_not_end_it()
 	{
 		backend_rest rest;
-		CPPUNIT_ASSERT(rest.hear(ms(3000), at(ms(0))));
-		CPPUNIT_ASSERT(!rest.hear(ms(200), at(ms(10))));
+		CPPUNIT_ASSERT(rest.take_report(ms(3000), at(ms(0))));
+		CPPUNIT_ASSERT(!rest.take_report(ms(200), at(ms(10))));
 		CPPUNIT_ASSERT(rest.resting(at(ms(2999))));
-		CPPUNIT_ASSERT(rest.hear(ms(3000), at(ms(1000))));
+		CPPUNIT_ASSERT(rest.take_report(ms(3000), at(ms(1000))));
 		CPPUNIT_ASSERT(rest.resting(at(ms(3999))));
 		CPPUNIT_ASSERT(!rest.resting(at(ms(4000))));
 	}
@@ -64,12 +64,12 @@
 	void ejection_and_rest_at_the_same_time_the_longer_one_holds()
 	{
 		backend_state backend;
-		backend.rest.hear(ms(3000), at(ms(0)));
+		backend.rest.take_report(ms(3000), at(ms(0)));
 		backend.on_exchange_end(backend_signal::unreachable, at(ms(0)));
 		CPPUNIT_ASSERT(!backend.ejection.ejected(at(ms(1000)))); // The ejection is over.
 		CPPUNIT_ASSERT(!backend.usable(at(ms(2999))));
 		CPPUNIT_ASSERT(backend.usable(at(ms(3000))));
-		backend.rest.hear(ms(200), at(ms(4000)));
+		backend.rest.take_report(ms(200), at(ms(4000)));
 		for (int i = 0; i < 3; ++i)
 		{
 			backend.on_exchange_end(backend_signal::unreachable, at(ms(4000)));
@@ -94,7 +94,7 @@
 	void first_second_after_a_rest_is_limited_to_the_even_share()
 	{
 		backend_rest rest;
-		rest.hear(ms(700), at(ms(0)));
+		rest.take_report(ms(700), at(ms(0)));
 		constexpr int k_share = 20; // Requests per second.
 		std::vector<ms> sent;
 		for (ms now(700); now < ms(1700); now += ms(1))
--- a/tests/steering_crash_test.cpp
+++ b/tests/steering_crash_test.cpp
@@ -121,9 +121,9 @@
 		crash_evidence evidence;
 		for (std::uint32_t caller = 1; caller <= 5; ++caller)
 		{
-			crash_record end = crash_of(caller, caller);
-			end.caller_only = true;
-			CPPUNIT_ASSERT(!evidence.on_crash(request_of(1, caller), end));
+			crash_record crash = crash_of(caller, caller);
+			crash.caller_only = true;
+			CPPUNIT_ASSERT(!evidence.on_crash(request_of(1, caller), crash));
 		}
 		evidence.on_crash(request_of(1, 1), crash_of(8, 1));
 		CPPUNIT_ASSERT(request_of(1, 1) == *evidence.on_crash(request_of(1, 1), crash_of(9, 1)));
--- a/tests/steering_nodes_test.cpp
+++ b/tests/steering_nodes_test.cpp
@@ -357,8 +357,8 @@
 				for (int sequence = 1; sequence <= 2 * heartbeat_divisor; ++sequence)
 				{
 					const node_name name("n" + std::to_string(node));
-					turns += liveness.is_turn(node_name("self"), name, static_cast<std::uint64_t>(sequence),
-					             proximity::far)
+					turns += liveness.is_heartbeat_due(node_name("self"), name,
+					             static_cast<std::uint64_t>(sequence), proximity::far)
 					             ? 1
 					             : 0;
 				}
@@ -381,7 +381,8 @@
 				     ++sequence)
 				{
 					const node_name name("n" + std::to_string(node));
-					const bool turn = liveness.is_turn(node_name("self"), name, sequence, proximity::far);
+					const bool turn =
+					    liveness.is_heartbeat_due(node_name("self"), name, sequence, proximity::far);
 					heard += turn && liveness.includes_addresses(sequence) ? 1 : 0;
 				}
 				CPPUNIT_ASSERT_EQUAL(1, heard);
--- a/tests/steering_quota_test.cpp
+++ b/tests/steering_quota_test.cpp
@@ -189,9 +189,9 @@
 	{
 		return m_borrower.take(m_shop, k_nodes, m_now);
 	}
-	std::optional<quota_request> due(std::size_t _waiting = 1)
+	std::optional<quota_request> next_borrow_request(std::size_t _waiting = 1)
 	{
-		return m_borrower.due(m_shop, k_shop_lenders, _waiting, m_now);
+		return m_borrower.next_borrow_request(m_shop, k_shop_lenders, _waiting, m_now);
 	}
 	void grant(int _tokens, ms _wait = ms(1), std::uint32_t _lender = 1)
 	{
@@ -201,12 +201,12 @@
 	void first_request_of_a_customer_waits_for_the_lender()
 	{
 		CPPUNIT_ASSERT(quota_answer::waits == take());
-		const auto request = due();
+		const auto request = next_borrow_request();
 		CPPUNIT_ASSERT(request && 1 == request->wanted && lender_rank::first == request->rank);
-		CPPUNIT_ASSERT(!due()); // One borrow request at a time.
+		CPPUNIT_ASSERT(!next_borrow_request()); // One borrow request at a time.
 		grant(1);
 		CPPUNIT_ASSERT(quota_answer::granted == m_borrower.retry_take(m_shop, k_shop_lenders, m_now));
-		CPPUNIT_ASSERT(!due(0)); // The rate of a single request is too low to borrow ahead.
+		CPPUNIT_ASSERT(!next_borrow_request(0)); // The rate of a single request is too low to borrow ahead.
 	}
 
 	void request_with_tokens_borrowed_ahead_does_not_wait()
@@ -216,17 +216,17 @@
 			take();
 			m_now += ms(10);
 		}
-		const auto request = due();
+		const auto request = next_borrow_request();
 		CPPUNIT_ASSERT(request && request->wanted >= 8 && request->wanted <= 21);
 		grant(request->wanted);
 		CPPUNIT_ASSERT(quota_answer::granted == take());
-		CPPUNIT_ASSERT(!due(0)); // More than half of the tokens are left.
+		CPPUNIT_ASSERT(!next_borrow_request(0)); // More than half of the tokens are left.
 	}
 
 	void tokens_expire_after_their_lifetime()
 	{
 		take();
-		due();
+		next_borrow_request();
 		grant(2);
 		m_now += k_token_lifetime;
 		CPPUNIT_ASSERT(quota_answer::waits == take());
@@ -235,48 +235,48 @@
 	void token_given_back_serves_the_next_request()
 	{
 		take();
-		due();
+		next_borrow_request();
 		grant(1);
 		CPPUNIT_ASSERT(quota_answer::granted == take());
 		CPPUNIT_ASSERT(quota_answer::waits == take());
-		m_borrower.give_back(m_shop, m_now);
+		m_borrower.return_token(m_shop, m_now);
 		CPPUNIT_ASSERT(quota_answer::granted == take());
 	}
 
 	void customer_far_above_its_limit_is_refused_until_the_next_borrow_request()
 	{
 		take();
-		due();
+		next_borrow_request();
 		grant(0, ms(3000));
-		CPPUNIT_ASSERT(quota_answer::over == take());
-		CPPUNIT_ASSERT(quota_answer::over == m_borrower.retry_take(m_shop, k_shop_lenders, m_now));
-		CPPUNIT_ASSERT(!due());
+		CPPUNIT_ASSERT(quota_answer::over_limit == take());
+		CPPUNIT_ASSERT(quota_answer::over_limit == m_borrower.retry_take(m_shop, k_shop_lenders, m_now));
+		CPPUNIT_ASSERT(!next_borrow_request());
 		m_now += k_max_borrow_pause;
 		CPPUNIT_ASSERT(quota_answer::waits == take());
-		CPPUNIT_ASSERT(due());
+		CPPUNIT_ASSERT(next_borrow_request());
 		CPPUNIT_ASSERT(
-		    quota_answer::over == take()); // Further requests are refused while that request waits.
+		    quota_answer::over_limit == take()); // Further requests are refused while that request waits.
 	}
 
 	void customer_with_a_short_shortage_waits()
 	{
 		take();
-		due();
+		next_borrow_request();
 		grant(0, ms(100));
 		CPPUNIT_ASSERT(quota_answer::waits == take());
-		CPPUNIT_ASSERT(!due());
+		CPPUNIT_ASSERT(!next_borrow_request());
 		m_now += ms(100);
-		CPPUNIT_ASSERT(due());
+		CPPUNIT_ASSERT(next_borrow_request());
 	}
 
 	void let_the_first_lender_time_out()
 	{
 		take();
-		due();
+		next_borrow_request();
 		for (ms passed{0}; passed < k_lender_unresponsive_after; passed += k_lender_response_timeout)
 		{
 			m_now += k_lender_response_timeout;
-			due();
+			next_borrow_request();
 		}
 	}
 
@@ -287,7 +287,7 @@
 		customer mill = limited(10.0, 10.0);
 		mill.id = 7;
 		m_borrower.take(mill, k_nodes, m_now);
-		const auto request = m_borrower.due(mill, k_shop_lenders, 1, m_now);
+		const auto request = m_borrower.next_borrow_request(mill, k_shop_lenders, 1, m_now);
 		CPPUNIT_ASSERT(request && lender_rank::backup == request->rank);
 		m_now += k_lender_skip_time;
 		CPPUNIT_ASSERT(!m_borrower.is_unresponsive(1, m_now));
@@ -298,10 +298,10 @@
 		for (int i = 0; i < 10; ++i)
 		{
 			take();
-			due();
+			next_borrow_request();
 			m_now += k_lender_response_timeout;
-			CPPUNIT_ASSERT(due()); // A further borrow request is sent,
-			grant(1);              // and answered late.
+			CPPUNIT_ASSERT(next_borrow_request()); // A further borrow request is sent,
+			grant(1);                              // and answered late.
 			CPPUNIT_ASSERT(!m_borrower.is_unresponsive(1, m_now));
 		}
 	}
@@ -311,7 +311,7 @@
 		let_the_first_lender_time_out();
 		CPPUNIT_ASSERT(m_borrower.is_unresponsive(1, m_now));
 		m_borrower.on_redirect({m_shop.id, 0, k_redirect_wait}, 1);
-		const auto request = due();
+		const auto request = next_borrow_request();
 		CPPUNIT_ASSERT(request && lender_rank::first == request->rank);
 	}
 
--- a/tests/steering_service_test.cpp
+++ b/tests/steering_service_test.cpp
@@ -298,7 +298,7 @@
 		{
 			if (m_east == backend->region)
 			{
-				backend->rest.hear(std::chrono::seconds(3), m_now);
+				backend->rest.take_report(std::chrono::seconds(3), m_now);
 			}
 		}
 		m_now += std::chrono::milliseconds(100);
--- a/tests/steering_store_start_test.cpp
+++ b/tests/steering_store_start_test.cpp
@@ -44,7 +44,7 @@
 					others.push_back(&node);
 				}
 			}
-			registered[self.domain] += registers(self, others) ? 1 : 0;
+			registered[self.domain] += should_register(self, others) ? 1 : 0;
 		}
 		return registered;
 	}
@@ -73,7 +73,7 @@
 
 	void node_without_known_nodes_registers()
 	{
-		CPPUNIT_ASSERT(registers(fleet_of(1, 1).front(), {}));
+		CPPUNIT_ASSERT(should_register(fleet_of(1, 1).front(), {}));
 	}
 };
 
