--- a/src/steering/loop_gap_p.h
+++ b/src/steering/loop_gap_p.h
@@ -7,10 +7,10 @@
 ///
 /// Inputs: each iteration of the node's event loop, at least one in k_max_loop_interval while it runs.
 ///
-/// Algorithm: if no iteration occurred for longer, everything that is read within k_backlog after the stall
-/// may have arrived at any moment of it, and counts as arrived at its start. The caller has waited since
-/// then; a timeout counted from the read would outlast the caller's own, and a backend server would run a
-/// request that no caller awaits.
+/// Algorithm: if no iteration occurred for longer, everything that is read within k_stall_backlog_time after
+/// the stall may have arrived at any moment of it, and counts as arrived at its start. The caller has waited
+/// since then; a timeout counted from the read would outlast the caller's own, and a backend server would run
+/// a request that no caller awaits.
 ///
 /// Relies on a clock that includes the time of a suspension.
 #pragma once
@@ -23,7 +23,7 @@
 /// permitted excess of a timeout.
 constexpr std::chrono::milliseconds k_max_loop_interval{400};
 /// Time after a stall during which requests that were waiting in sockets are read.
-constexpr std::chrono::milliseconds k_backlog{100};
+constexpr std::chrono::milliseconds k_stall_backlog_time{100};
 
 /// Detects stalls of the event loop.
 class loop_stall_detector
@@ -35,7 +35,7 @@
 		if (steady_time{} != m_last_iteration && _now - m_last_iteration > k_max_loop_interval)
 		{
 			m_stall_began = m_last_iteration;
-			m_backlog_until = _now + k_backlog;
+			m_backlog_until = _now + k_stall_backlog_time;
 		}
 		m_last_iteration = _now;
 	}
--- a/src/steering/node_ring.cpp
+++ b/src/steering/node_ring.cpp
@@ -17,10 +17,10 @@
 void node_ring::build(const std::vector<node_name>& _nodes)
 {
 	m_points.clear();
-	m_points.reserve(_nodes.size() * k_points);
+	m_points.reserve(_nodes.size() * k_points_per_node);
 	for (std::size_t i = 0; i < _nodes.size(); ++i)
 	{
-		for (int copy = 0; copy < k_points; ++copy)
+		for (int copy = 0; copy < k_points_per_node; ++copy)
 		{
 			const std::uint64_t place = rendezvous_weight(_nodes[i].text, static_cast<std::uint64_t>(copy));
 			m_points.push_back({place, static_cast<std::uint32_t>(i)});
--- a/src/steering/node_ring_p.h
+++ b/src/steering/node_ring_p.h
@@ -7,9 +7,9 @@
 /// Used to choose the lender of tokens and the node that warms up a cold backend server. Inputs: names of the
 /// nodes; the hash of the item.
 ///
-/// Algorithm: consistent hashing. Each node has k_points points on a ring, an item belongs to the next point,
-/// and the backup is the next different node, which takes over when the first one leaves. A node that joins
-/// or leaves changes the owner of 1/n of the items.
+/// Algorithm: consistent hashing. Each node has k_points_per_node points on a ring, an item belongs to the
+/// next point, and the backup is the next different node, which takes over when the first one leaves. A node
+/// that joins or leaves changes the owner of 1/n of the items.
 ///
 /// Alternative: rendezvous hashing, as elsewhere. A lookup on the ring takes log n steps instead
 /// of n hashes, and there is one for each request of a customer and for each cold backend server that a
@@ -27,7 +27,7 @@
 {
 /// Points of each node. Higher values: more even distribution, and as many times more entries of 16 bytes.
 /// Lower values: some nodes lend for several times as many customers as others.
-constexpr int k_points = 8;
+constexpr int k_points_per_node = 8;
 
 /// The owners of one item, as indices into the nodes that the ring was built from.
 struct ring_owners
