--- a/src/entry_node/rollouts.cpp
+++ b/src/entry_node/rollouts.cpp
@@ -42,9 +42,9 @@
 		return "ordered";
 	case rollout_reason::no_requests:
 		return "no_request_ended_there";
-	case rollout_reason::judged:
+	case rollout_reason::not_found_bad:
 		return "nothing_found";
-	case rollout_reason::judged_bad:
+	case rollout_reason::found_bad:
 		break;
 	}
 	return verdict_reason::slow == _verdict.reason ? "slow" : "failures";
--- a/src/steering/rollout_plan.cpp
+++ b/src/steering/rollout_plan.cpp
@@ -36,12 +36,12 @@
 	if (_view.verdict.is_bad())
 	{
 		return _view.bad_for >= wait
-		           ? std::optional<rollout_step>({rollout_state::rolled_back, rollout_reason::judged_bad})
+		           ? std::optional<rollout_step>({rollout_state::rolled_back, rollout_reason::found_bad})
 		           : std::nullopt;
 	}
 	if (_view.ended_at_target > 0 && elapsed(_view.passed, _order, k_complete_fraction, wait))
 	{
-		return rollout_step{rollout_state::complete, rollout_reason::judged};
+		return rollout_step{rollout_state::complete, rollout_reason::not_found_bad};
 	}
 	if (elapsed(_view.passed, _order, k_give_up_fraction, wait))
 	{
--- a/src/steering/rollout_plan_p.h
+++ b/src/steering/rollout_plan_p.h
@@ -52,10 +52,10 @@
 /// Reason for which a state is written.
 enum class rollout_reason
 {
-	ordered,     ///< Running: this node knows the order.
-	judged_bad,  ///< Rolled back: the evidence shows that the version is bad.
-	no_requests, ///< Rolled back: no request ended at the target version in time.
-	judged,      ///< Complete: the version was not found bad in time.
+	ordered,       ///< Running: this node knows the order.
+	found_bad,     ///< Rolled back: the evidence shows that the version is bad.
+	no_requests,   ///< Rolled back: no request ended at the target version in time.
+	not_found_bad, ///< Complete: the version was not found bad in time.
 };
 
 /// State that a node has to write.
