--- a/src/entry_node/crash_guard.cpp
+++ b/src/entry_node/crash_guard.cpp
@@ -17,7 +17,7 @@
 constexpr std::chrono::milliseconds k_trial_timeout{150};
 /// Time from a message to its first repetition; the interval to the next one is four times as long.
 constexpr std::chrono::milliseconds k_first_repeat{400};
-constexpr int k_repeat_factor = 4;  ///< See above.
+constexpr int k_repeat_factor = 4;  ///< Ratio of two successive intervals.
 constexpr int k_block_repeats = 2;  ///< Repetitions of messages to all nodes.
 constexpr int k_report_repeats = 1; ///< Repetitions of messages to the counting nodes.
 /// Maximum number of messages that wait for repetition. It is exceeded when requests crash backend servers
--- a/src/entry_node/limit_messages.cpp
+++ b/src/entry_node/limit_messages.cpp
@@ -14,8 +14,8 @@
 {
 /// First field: identifies both the layout and the kind of message. Other values are rejected.
 constexpr int k_limit_layout = 106;
-constexpr int k_request_layout = 107; ///< See above.
-constexpr int k_grant_layout = 108;   ///< See above.
+constexpr int k_request_layout = 107; ///< As above, for a token request.
+constexpr int k_grant_layout = 108;   ///< As above, for a grant.
 /// Fields: layout, incarnation of the backend server, number of tokens, rank of the lender or wait in
 /// milliseconds, reported limit.
 constexpr std::size_t k_fields = 5;
--- a/src/entry_node/quota_messages.cpp
+++ b/src/entry_node/quota_messages.cpp
@@ -13,7 +13,7 @@
 {
 /// First field: identifies both the layout and the kind of message. Other values are rejected.
 constexpr int k_request_layout = 101;
-constexpr int k_grant_layout = 102; ///< See above.
+constexpr int k_grant_layout = 102; ///< As above, for a grant.
 /// Number of fields of either message.
 constexpr std::size_t k_fields = 4;
 /// First byte of a CBOR array of k_fields elements; no other datagram between nodes begins with it.
--- a/src/steering/entry_removal.cpp
+++ b/src/steering/entry_removal.cpp
@@ -10,8 +10,8 @@
 namespace
 {
 /// Milliseconds for which a vanished entry is kept while the store is reachable. Longer: requests go to a
-/// backend server that left. Shorter: a backend server that renews its lease late is removed. Set by the sum
-/// of all delays with 80 nodes.
+/// backend server that left. Shorter: a backend server that renews its lease late is removed. The sum of
+/// all delays with 80 nodes sets this value.
 constexpr std::chrono::milliseconds k_removal_delay{500};
 /// Maximum number of milliseconds for which an entry that vanished during a store outage is kept. Longer:
 /// requests go to backend servers that left during the outage. Shorter: an outage removes live backend
