--- a/src/larkrackd/carrier_attempts.cpp
+++ b/src/larkrackd/carrier_attempts.cpp
@@ -19,7 +19,7 @@
 /// serve, and adds load from requests that no entry VM can serve.
 constexpr int k_max_attempts = 3;
 /// Maximum expected wait for which a request queues here instead of being relayed, which costs a hop. With
-/// this limit 4.6% of requests were relayed instead of 12.2% (commit 4588dde).
+/// this limit 4.6% of requests were relayed instead of 12.2%.
 constexpr std::chrono::milliseconds k_max_local_wait{10};
 /// Part of the deadline that is reserved for returning the response.
 constexpr std::chrono::milliseconds k_response_reserve{5};
