--- a/src/entry_node/backend_limits.cpp
+++ b/src/entry_node/backend_limits.cpp
@@ -19,7 +19,7 @@
 /// k_announce_interval, and at least k_announce_interval_per_node for each node of the region. Shorter
 /// intervals send more datagrams about a limit that changes with each response.
 constexpr std::chrono::milliseconds k_announce_interval{500};
-constexpr std::chrono::milliseconds k_announce_interval_per_node{2}; ///< See above.
+constexpr std::chrono::milliseconds k_announce_interval_per_node{2}; ///< Interval for each node.
 /// Relative change from the announced limit above which a limit is announced again (no unit). A lower value
 /// sends more datagrams; with a higher one, nodes with few requests use an outdated limit until their next
 /// response.
--- a/src/entry_node/backend_limits_p.h
+++ b/src/entry_node/backend_limits_p.h
@@ -103,7 +103,7 @@
 	    const backend_server& _backend, const quota_request& _request, const std::string& _ip);
 	void send_limit(const backend_server& _backend, const std::string& _ip);
 
-	region_name m_region; ///< Of this node.
+	region_name m_region; ///< Region of this node.
 	const clock_base& m_clock;
 	const fleet_view_base& m_fleet;
 	const backend_registry& m_backends;
--- a/src/entry_node/crash_guard_p.h
+++ b/src/entry_node/crash_guard_p.h
@@ -202,7 +202,7 @@
 	const clock_base& m_clock;
 	const fleet_view_base& m_fleet;
 	const backend_registry& m_backends;
-	region_name m_region; ///< Of this node.
+	region_name m_region; ///< Region of this node.
 	entry_log& m_log;
 	sender m_send;
 	writer m_write;
--- a/src/entry_node/crash_messages.cpp
+++ b/src/entry_node/crash_messages.cpp
@@ -19,7 +19,7 @@
 constexpr std::uint8_t k_first_byte = 0x80 + k_fields;
 /// Flag bits of block_update.
 constexpr std::uint64_t k_blocked_bit = 1;
-constexpr std::uint64_t k_forward_bit = 2; ///< See above.
+constexpr std::uint64_t k_forward_bit = 2; ///< The receiver forwards the update.
 
 /// Values of a message besides the fingerprint of its request. Unused ones are 0.
 struct message_values
--- a/src/entry_node/forwarded_request_p.h
+++ b/src/entry_node/forwarded_request_p.h
@@ -47,7 +47,7 @@
 	enum class state
 	{
 		initial,        ///< Not routed yet, or waiting for the customer's quota or for a trial.
-		queued,         ///< In the queue of its service, waiting for a slot.
+		queued,         ///< The request waits in the queue of its service for a slot.
 		awaiting_token, ///< Waiting for a token of a backend server that announced a limit.
 		sent,           ///< An attempt is running, or its result is being handled.
 		ended,          ///< The caller has its response, or disconnected.
@@ -139,7 +139,7 @@
 	std::shared_ptr<caller_session> m_session;
 	caller_request m_request;
 	std::string m_request_id;
-	std::shared_ptr<const routing_table> m_routes; ///< In force at arrival; keeps m_route alive.
+	std::shared_ptr<const routing_table> m_routes; ///< Routes in force at arrival; keep m_route alive.
 	const route* m_route = nullptr;
 	const customer* m_customer = nullptr; ///< Owned by m_routes; null: no customer.
 	home_regions m_home_regions;
--- a/src/entry_node/header_names_p.h
+++ b/src/entry_node/header_names_p.h
@@ -21,8 +21,9 @@
 	std::string limit = "Larkrack-Limit";     ///< Requests per second accepted from all nodes together.
 	std::string leaving = "Larkrack-Leaving"; ///< The backend server is about to shut down.
 	std::string affinity_cookie = "Larkrack-Affinity"; ///< Cookie with the affinity key.
-	std::string signature = "Larkrack-Signature"; ///< In each response of the server that ran the request.
-	std::string api_key = "Larkrack-Api-Key";     ///< API key of the caller; never passed on.
-	std::string customer = "Larkrack-Customer";   ///< Customer that holds the key; set by the node.
+	/// Each response of the server that ran the request has this header.
+	std::string signature = "Larkrack-Signature";
+	std::string api_key = "Larkrack-Api-Key";   ///< API key of the caller; never passed on.
+	std::string customer = "Larkrack-Customer"; ///< Customer that holds the key; set by the node.
 };
 } // namespace larkrack
--- a/src/entry_node/rollout_messages_p.h
+++ b/src/entry_node/rollout_messages_p.h
@@ -22,8 +22,9 @@
 {
 	service_name service;
 	std::int64_t order_revision = 0;
-	std::uint32_t sender = 0;            ///< short_hash() of the sender's name.
-	std::uint64_t incarnation = 0;       ///< Of the sender, whose counts start from 0 with each incarnation.
+	std::uint32_t sender = 0; ///< short_hash() of the sender's name.
+	/// Incarnation of the sender, whose counts start from 0 with each incarnation.
+	std::uint64_t incarnation = 0;
 	std::chrono::milliseconds passed{0}; ///< Time since the sender learned of the order.
 	rollout_evidence evidence;
 };
--- a/src/entry_node/rollouts_p.h
+++ b/src/entry_node/rollouts_p.h
@@ -29,7 +29,7 @@
 struct version_attempt
 {
 	service_name service;
-	version_name version; ///< Of the backend server.
+	version_name version; ///< Version of the backend server.
 	std::string route;
 	bool failed = false; ///< The response failed or was lost, or there was none until the deadline.
 	/// From sending the request to its complete response; nothing for a failed attempt or a cold backend
--- a/src/entry_node/upstream_p.h
+++ b/src/entry_node/upstream_p.h
@@ -155,8 +155,9 @@
 	bool m_sent = false;
 	bool m_written = false; ///< The whole request was sent.
 	bool m_done = false;
-	bool m_cancelled = false;        ///< Cancelled; only a report is still of interest, until m_done.
-	bool m_connection_broke = false; ///< By the backend server, before a response began.
+	bool m_cancelled = false; ///< Cancelled; only a report is still of interest, until m_done.
+	/// The backend server closed the connection before a response began, or reset it.
+	bool m_connection_broke = false;
 	steady_time m_connecting_since{};
 	std::optional<steady_time::duration> m_connect_time;
 	int m_foreign_responses = 0;
--- a/src/larkrackd/membership_p.h
+++ b/src/larkrackd/membership_p.h
@@ -59,7 +59,7 @@
 	unknown, ///< No entry was received yet.
 	alive,
 	suspected, ///< No newer entry was received for too long.
-	left,      ///< Sent a farewell in its newest incarnation.
+	left,      ///< The entry VM sent a farewell in its newest incarnation.
 };
 
 /// A heartbeat to send.
--- a/src/larkrackd/relay_mark_p.h
+++ b/src/larkrackd/relay_mark_p.h
@@ -19,9 +19,9 @@
 /// How a request reached this entry VM.
 enum class request_origin
 {
-	caller,   ///< From a caller.
-	for_key,  ///< Relayed by another entry VM, because this one stores the key.
-	for_slot, ///< Relayed by another entry VM, because this one owns backend servers; never relayed again.
+	caller,   ///< A caller sent the request.
+	for_key,  ///< Another entry VM relayed it, because this one stores the key.
+	for_slot, ///< Another entry VM relayed it, because this one owns backend servers; never relayed again.
 };
 
 /// @returns The mark: "key:ID:TIME:SIGNATURE" or "slot:ID:TIME:SIGNATURE", the time in microseconds since
--- a/src/larkrackd/traffic_view_p.h
+++ b/src/larkrackd/traffic_view_p.h
@@ -25,7 +25,8 @@
 struct peer_view
 {
 	bool alive = false;
-	bool leaving = false; ///< Stopping or drained: not listed in look-ups, gets no relayed requests.
+	/// The entry VM is stopping or drained: not listed in look-ups, gets no relayed requests.
+	bool leaving = false;
 	incarnation life;
 	std::vector<service_headroom> rooms; ///< Last reported headroom, by service handle.
 };
--- a/src/steering/backend_limit_p.h
+++ b/src/steering/backend_limit_p.h
@@ -46,7 +46,7 @@
 /// Higher values allow larger bursts after a pause. Lower values lose requests that arrive together between
 /// two token requests.
 constexpr double k_limit_burst_s = 0.1;
-constexpr double k_limit_burst = 2.0; ///< See above.
+constexpr double k_limit_burst = 2.0; ///< Constant number of requests in the burst.
 /// Fraction of a limit, scaled by the number of visible nodes, that is lent by a node that sees less than
 /// half of its region.
 constexpr double k_minority_share = 0.5;
--- a/src/steering/crash_evidence_p.h
+++ b/src/steering/crash_evidence_p.h
@@ -82,7 +82,7 @@
 	struct suspect
 	{
 		std::uint64_t head = 0;
-		std::deque<crash_record> crashes; ///< In order of their reports.
+		std::deque<crash_record> crashes; ///< Crashes in the order of their reports.
 	};
 	void forget(std::map<std::uint64_t, suspect>::iterator _suspect);
 
--- a/src/steering/lookup_answer_p.h
+++ b/src/steering/lookup_answer_p.h
@@ -26,9 +26,9 @@
 /// Where the listed nodes are.
 enum class lookup_reason
 {
-	own_region,  ///< In the caller's region, or in any region if the caller states none.
-	home_region, ///< In a home region of the host.
-	any_region,  ///< In any region: neither of the above has a ready node.
+	own_region,  ///< The nodes are in the caller's region, or in any if the caller states none.
+	home_region, ///< The nodes are in a home region of the host.
+	any_region,  ///< The nodes are in any region: neither of the above has a ready node.
 	none_ready,  ///< Only this node: no node is ready.
 };
 
--- a/src/steering/node_heartbeat_p.h
+++ b/src/steering/node_heartbeat_p.h
@@ -78,9 +78,9 @@
 /// Location of another node relative to this one.
 enum class proximity
 {
-	domain, ///< In the same failure domain.
-	region, ///< In another failure domain of the region.
-	far,    ///< In another region.
+	domain, ///< The node is in the same failure domain.
+	region, ///< The node is in another failure domain of the region.
+	far,    ///< The node is in another region.
 };
 
 /// Properties that all other nodes of one failure domain share.
--- a/src/steering/rollout_evidence_p.h
+++ b/src/steering/rollout_evidence_p.h
@@ -30,7 +30,7 @@
 struct version_counts
 {
 	std::uint32_t ended = 0;  ///< Requests that a backend server received and that have ended.
-	std::uint32_t failed = 0; ///< Of these: failed answers, lost answers, no answer until the deadline.
+	std::uint32_t failed = 0; ///< Those whose answer failed, was lost or did not come until the deadline.
 	/// Answers of backend servers that were not cold, by class of their answer time.
 	std::array<std::uint32_t, k_time_classes> times{};
 
--- a/src/steering/slot_portion_p.h
+++ b/src/steering/slot_portion_p.h
@@ -41,7 +41,7 @@
 struct other_nodes_rates
 {
 	double total_per_s = 0.0;
-	double preceding_per_s = 0.0; ///< Of the nodes whose names precede this node's name.
+	double preceding_per_s = 0.0; ///< Rate of the nodes whose names precede this node's name.
 };
 
 /// @param[in] _own_per_s Requests per second that this node sends to the region.
